--- a/packages/daisypick_core/src/daisypick_core/scheduling/__init__.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/__init__.py
@@ -7,9 +7,9 @@
 * ``job``: a request that wants to start.
 * ``server_state``: a server that may get work.
 * ``prefix_cache``: which parts of prompts an engine is believed to keep.
-* ``engine_belief``: what an engine is believed to be doing.
+* ``engine_estimate``: what an engine is believed to be doing.
 * ``engine_fleet``: the engines that may get work, and their beliefs.
-* ``engine_look``: the engines that one round of decisions looks at.
+* ``engine_candidates``: the engines that one round of decisions looks at.
 * ``recent_holders``: which engine was last sent a part of a prompt.
 * ``fair_share``: which organisations are within their share.
 * ``recent_keys``: which starts were counted already.
@@ -18,7 +18,7 @@
 * ``placement``: which open engine a request goes to.
 * ``waiting``: requests that wait, by organisation.
 * ``hosts``: which router hosts the scheduler of a service.
-* ``cold_fleet``: what routers sent to servers that may turn cold.
+* ``cold_limits``: what routers sent to servers that may turn cold.
 * ``admission``: which requests may wait, and for how long.
 * ``fleet_report``: what is believed of engines, for logs.
 * ``actions``: what a scheduler asks its driver to do.
--- a/packages/daisypick_core/src/daisypick_core/scheduling/admission.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/admission.py
@@ -12,14 +12,14 @@
 from daisypick_core.scheduling import fair_share
 from daisypick_core.scheduling import job
 from daisypick_core.scheduling import reading_speed
-from daisypick_core.scheduling import waiting as waiting_jobs
+from daisypick_core.scheduling import wait_queue
 
 # Parts of the objective that a request may wait: as long as the rest suffices
 # for its own prompt, within these bounds.
-LEAST_WAIT_SHARE = 0.3
-MOST_WAIT_SHARE = 0.6
+MIN_WAIT_SHARE = 0.3
+MAX_WAIT_SHARE = 0.6
 # Requests that wait at the most; more than start within an objective.
-_MOST_WAITING = 400
+_MAX_WAITING = 400
 # The same for one organisation that is beyond its share. The largest ones
 # start some 75 requests a second, so about as many as these start before the
 # first of them is given up.
@@ -32,7 +32,7 @@
     def __init__(
         self,
         *,
-        waiting: waiting_jobs.Waiting,
+        waiting: wait_queue.WaitQueue,
         shares: fair_share.FairShare,
         fleet: engine_fleet.EngineFleet,
         speed: reading_speed.ServiceSpeed,
@@ -46,7 +46,7 @@
 
     def is_full(self) -> bool:
         """Tell whether as many requests wait as may."""
-        return len(self._waiting) >= _MOST_WAITING
+        return len(self._waiting) >= _MAX_WAITING
 
     def add(self, work: job.Job) -> None:
         """Let a request wait as long as it may.
@@ -54,53 +54,58 @@
         One whose prompt takes nearly the whole objective still waits a while
         for an idle engine; it would be late anyway.
         """
-        patience = work.objective_at - work.arrived_at
-        seconds = self._find_reading_seconds(work)
-        wait = max(patience - seconds, patience * LEAST_WAIT_SHARE)
+        objective_seconds = work.objective_at - work.arrived_at
+        seconds = self._predict_first_token_seconds(work)
+        wait = max(
+            objective_seconds - seconds, objective_seconds * MIN_WAIT_SHARE
+        )
         self._waiting.add(
             work,
-            latest_at=work.arrived_at + min(wait, patience * MOST_WAIT_SHARE),
-            in_time_until=work.objective_at - seconds,
+            expires_at=work.arrived_at
+            + min(wait, objective_seconds * MAX_WAIT_SHARE),
+            feasible_until=work.objective_at - seconds,
         )
 
-    def _find_reading_seconds(self, work: job.Job) -> float:
+    def _predict_first_token_seconds(self, work: job.Job) -> float:
         """Return the time to a first token at an idle engine, with a margin.
 
         What engines keep of the prompt is not read again.
         """
-        kept = self._fleet.count_kept(work.parts)
-        seconds = self._speed.predict(max(work.prompt_tokens - kept, 0))
-        return seconds * (1.0 + self._speed.spread)
+        cached = self._fleet.count_cached(work.parts)
+        seconds = self._speed.predict(max(work.prompt_tokens - cached, 0))
+        return seconds * (1.0 + self._speed.relative_error)
 
-    def floods(self, work: job.Job, now: float) -> bool:
+    def exceeds_queue_limit(self, work: job.Job, now: float) -> bool:
         """Tell whether too many of an organisation beyond its share wait."""
         waiting = self._waiting.count(work.organisation)
         return waiting >= MOST_WAITING_BEYOND and not self._shares.is_within(
             work.organisation, work.cost, now
         )
 
-    def take_too_late(self, work: job.Job, now: float) -> job.Job | None:
+    def displace_infeasible(self, work: job.Job, now: float) -> job.Job | None:
         """Take out a request that is too late in favour of one that is not.
 
         Of a flood only some wait. Once these are too late for any engine they
         are refused one by one at their time, and each new one, which could be
         in time, at once: the organisation waits through and gets nothing.
         """
-        if not self.floods(work, now):
+        if not self.exceeds_queue_limit(work, now):
             return None
-        begin_at = now + self._fleet.find_least_wait(self._rng, now)
-        late = self._waiting.find_too_late(work.organisation, begin_at)
-        in_time_until = work.objective_at - self._find_reading_seconds(work)
-        if late is None or begin_at > in_time_until:
+        start_at = now + self._fleet.find_min_wait(self._rng, now)
+        infeasible = self._waiting.find_infeasible(work.organisation, start_at)
+        feasible_until = work.objective_at - self._predict_first_token_seconds(
+            work
+        )
+        if infeasible is None or start_at > feasible_until:
             return None
-        self._waiting.remove(late)
-        return late
+        self._waiting.remove(infeasible)
+        return infeasible
 
-    def tell_share(self, organisation: str, now: float) -> str:
+    def describe_share(self, organisation: str, now: float) -> str:
         """Say why an organisation's request is refused."""
-        begun = self._shares.read_begun(organisation, now)
+        usage = self._shares.find_usage(organisation, now)
         return (
-            f"beyond its organisation's share: {begun:.0f} tokens begun of"
+            f"beyond its organisation's share: {usage:.0f} tokens begun of"
             f" {self._shares.find_level(now):.0f},"
             f" {self._waiting.count(organisation)} wait"
         )
--- a/packages/daisypick_core/src/daisypick_core/scheduling/cold_fleet.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/cold_limits.py
@@ -13,7 +13,7 @@
 from daisypick_core.serving import cold_parts
 
 
-class ColdFleet:
+class ColdLimits:
     """Limits by router.
 
     Args:
@@ -22,14 +22,14 @@
 
     def __init__(self, *, rate: float) -> None:
         self._rate = rate
-        self._parts = cold_parts.ColdParts()
+        self._quotas = cold_parts.ColdParts()
         self._limit_by_router: dict[str, cold_limit.ColdLimit] = {}
 
     def set_routers(self, routers: Iterable[str]) -> None:
         """Take the names of all routers; none if they are not known."""
-        self._parts.set_routers(routers)
+        self._quotas.set_routers(routers)
 
-    def bears(self, router: str, server: str, now: float) -> bool:
+    def can_handle(self, router: str, server: str, now: float) -> bool:
         """Tell whether a cold server bears one more request of a router."""
         if not self._rate:
             return True
@@ -42,7 +42,7 @@
     def _find_limit(self, router: str) -> cold_limit.ColdLimit:
         limit = self._limit_by_router.get(router)
         if limit is None:
-            limit = cold_limit.ColdLimit(router=router, parts=self._parts)
+            limit = cold_limit.ColdLimit(router=router, parts=self._quotas)
             self._limit_by_router[router] = limit
         return limit
 
--- a/packages/daisypick_core/src/daisypick_core/scheduling/engine_look.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/engine_candidates.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Iterable
 
-from daisypick_core.scheduling import engine_belief
+from daisypick_core.scheduling import engine_estimate
 from daisypick_core.scheduling import engine_fleet
 from daisypick_core.scheduling import placement
 
@@ -18,11 +18,11 @@
 # slots is free and engines have no more than eight tenths to read of what
 # they may have; so what is within finds room at once. An engine counts with
 # no more than that: one long prompt does not make a calm fleet busy.
-_SPARE_SLOTS = 0.75
-_SPARE_UNREAD = 0.8
+_SPARE_SLOT_SHARE = 0.75
+_SPARE_BACKLOG_SHARE = 0.8
 
 
-class EngineLook:
+class EngineCandidates:
     """Open and busy engines at one moment.
 
     An engine is open while it has a free slot, little to read and has not
@@ -30,27 +30,27 @@
 
     Attributes:
         engine_by_server: What is believed of the engines looked at.
-        ahead_by_server: Unread tokens of those that are open.
+        backlog_by_server: Unread tokens of those that are open.
         busy: Those that are closed only for what they have to read.
     """
 
     def __init__(self, *, fleet: engine_fleet.EngineFleet, now: float) -> None:
         self._fleet = fleet
         self._now = now
-        self._most_wait = placement.OPEN_SECONDS * fleet.share
+        self._max_wait = placement.MAX_BACKLOG_SECONDS * fleet.share
         self._wait_by_server: dict[str, float] = {}
-        aside = [
+        ejected = [
             server
             for server in fleet.outcomes.find_aside(now)
             if server in fleet
         ]
-        slots = sum(fleet.state_by_server[server].slots for server in aside)
+        slots = sum(fleet.state_by_server[server].slots for server in ejected)
         self._slots = (fleet.slots - slots) * fleet.share
         self._running = fleet.running - sum(
-            fleet.find(server).running for server in aside
+            fleet.find(server).running for server in ejected
         )
-        self.engine_by_server: dict[str, engine_belief.EngineBelief] = {}
-        self.ahead_by_server: dict[str, float] = {}
+        self.engine_by_server: dict[str, engine_estimate.EngineEstimate] = {}
+        self.backlog_by_server: dict[str, float] = {}
         self.busy: list[str] = []
 
     def add(self, servers: Iterable[str]) -> None:
@@ -64,12 +64,12 @@
         self.engine_by_server[server] = engine
         if self._fleet.outcomes.is_aside(server, self._now):
             return
-        wait = engine.wait(self._now)
+        wait = engine.prefill_wait(self._now)
         self._wait_by_server[server] = wait
         if not engine.has_slot(self._fleet.share):
             return
-        if wait < self._most_wait:
-            self.ahead_by_server[server] = engine.unread(self._now)
+        if wait < self._max_wait:
+            self.backlog_by_server[server] = engine.prefill_backlog(self._now)
         else:
             self.busy.append(server)
 
@@ -78,22 +78,24 @@
         engine = self._fleet.find(server)
         self.engine_by_server[server] = engine
         self._running += 1
-        wait = engine.wait(self._now)
+        wait = engine.prefill_wait(self._now)
         self._wait_by_server[server] = wait
-        if wait < self._most_wait and engine.has_slot(self._fleet.share):
-            self.ahead_by_server[server] = engine.unread(self._now)
+        if wait < self._max_wait and engine.has_slot(self._fleet.share):
+            self.backlog_by_server[server] = engine.prefill_backlog(self._now)
         else:
-            del self.ahead_by_server[server]
+            del self.backlog_by_server[server]
 
-    def find_least_wait(self) -> float:
+    def find_min_wait(self) -> float:
         """Return the least seconds of reading ahead at an open engine."""
-        return min(self._wait_by_server[name] for name in self.ahead_by_server)
+        return min(
+            self._wait_by_server[name] for name in self.backlog_by_server
+        )
 
     def is_spare(self) -> bool:
         """Tell whether there is capacity that nobody else wants."""
         waits = self._wait_by_server.values()
-        wait = sum(min(wait, self._most_wait) for wait in waits)
+        wait = sum(min(wait, self._max_wait) for wait in waits)
         return (
-            self._running < self._slots * _SPARE_SLOTS
-            and wait < self._most_wait * len(waits) * _SPARE_UNREAD
+            self._running < self._slots * _SPARE_SLOT_SHARE
+            and wait < self._max_wait * len(waits) * _SPARE_BACKLOG_SHARE
         )
--- a/packages/daisypick_core/src/daisypick_core/scheduling/engine_belief.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/engine_estimate.py
@@ -40,8 +40,8 @@
         "first_at",
         "job",
         "started_at",
-        "tokens",
-        "unread",
+        "total_tokens",
+        "own_tokens",
         "was_idle",
     )
 
@@ -49,21 +49,21 @@
         self,
         *,
         work: job.Job,
-        unread: int,
-        tokens: float | None,
+        own_tokens: int,
+        total_tokens: float | None,
         started_at: float,
         first_at: float,
         was_idle: bool,
     ) -> None:
         self.job = work
-        self.unread = unread
-        self.tokens = tokens
+        self.own_tokens = own_tokens
+        self.total_tokens = total_tokens
         self.started_at = started_at
         self.first_at = first_at
         self.was_idle = was_idle
 
 
-class EngineBelief:
+class EngineEstimate:
     """Requests, memory and speed of one engine.
 
     Prompts are read in the order of their starts. A first token tells that
@@ -88,11 +88,11 @@
         # the sum of what they have to read: a host asks for it for every
         # engine at every start, and a sum over all requests of all engines
         # kept a small VM from answering in time.
-        self._reading_by_key: dict[str, _Run] = {}
-        self._unread = 0
+        self._prefilling_by_key: dict[str, _Run] = {}
+        self._prefill_tokens = 0
         # What was still to read at a moment in the past.
-        self._left = 0.0
-        self._left_at = 0.0
+        self._backlog = 0.0
+        self._backlog_at = 0.0
 
     @property
     def running(self) -> int:
@@ -107,22 +107,22 @@
         """Tell whether a part of the slots has room for one more request."""
         return self.running < max(self.slots * share, 1.0)
 
-    def unread(self, now: float) -> float:
+    def prefill_backlog(self, now: float) -> float:
         """Return the prompt tokens that are still to be read."""
-        if not self._reading_by_key:
+        if not self._prefilling_by_key:
             return 0.0
-        head = next(iter(self._reading_by_key.values()))
-        elapsed = max(min(now, head.first_at) - self._left_at, 0.0)
-        return max(self._left - elapsed / self.speed.token_seconds, 0.0)
+        head = next(iter(self._prefilling_by_key.values()))
+        elapsed = max(min(now, head.first_at) - self._backlog_at, 0.0)
+        return max(self._backlog - elapsed / self.speed.token_seconds, 0.0)
 
-    def wait(self, now: float) -> float:
+    def prefill_wait(self, now: float) -> float:
         """Return the seconds of reading that are ahead of a new request."""
-        return self.unread(now) * self.speed.token_seconds
+        return self.prefill_backlog(now) * self.speed.token_seconds
 
     def has_memory(self, work: job.Job, share: float = 1.0) -> bool:
         """Tell whether a request's tokens fit beside the running ones."""
-        wanted = self.cache.count_unheld(work.parts) + work.output_tokens
-        room = self.kv_tokens * _MEMORY_SHARE * share - self.cache.held
+        wanted = self.cache.count_unpinned(work.parts) + work.output_tokens
+        room = self.kv_tokens * _MEMORY_SHARE * share - self.cache.pinned
         return wanted <= room or not self._run_by_key
 
     def start(
@@ -143,22 +143,22 @@
                 tell nothing of the engine's speed.
             saved: Prompt tokens worth of reading that copying spares it.
         """
-        kept = self.cache.count_kept(work.parts)
-        unread = max(work.prompt_tokens - kept - int(saved), 0)
-        self._left = self.unread(now) + unread
-        self._left_at = now
+        cached = self.cache.count_cached(work.parts)
+        own_tokens = max(work.prompt_tokens - cached - int(saved), 0)
+        self._backlog = self.prefill_backlog(now) + own_tokens
+        self._backlog_at = now
         run = _Run(
             work=work,
-            unread=unread,
-            tokens=None if ahead is None else ahead + unread,
+            own_tokens=own_tokens,
+            total_tokens=None if ahead is None else ahead + own_tokens,
             started_at=now,
-            first_at=now + self.speed.predict((ahead or 0.0) + unread),
-            was_idle=not self._reading_by_key,
+            first_at=now + self.speed.predict((ahead or 0.0) + own_tokens),
+            was_idle=not self._prefilling_by_key,
         )
         self._run_by_key[work.key] = run
-        self._reading_by_key[work.key] = run
-        self._unread += unread
-        self.cache.generated += work.output_tokens
+        self._prefilling_by_key[work.key] = run
+        self._prefill_tokens += own_tokens
+        self.cache.output_tokens += work.output_tokens
         self.cache.begin(work.parts)
 
     def note_first_token(
@@ -176,43 +176,47 @@
             late: Whether whoever saw it may have seen it late, so that it
                 does not tell how long the engine took.
         """
-        if key not in self._reading_by_key:
+        if key not in self._prefilling_by_key:
             return
         if learn:
             for earlier in self._find_started_before(key):
-                self._note_read(earlier, now)
-        run = self._note_read(key, now)
+                self._record_prefilled(earlier, now)
+        run = self._record_prefilled(key, now)
         if not learn or late:
             return
-        self._left = float(self._unread)
-        if self._reading_by_key:
-            head = next(iter(self._reading_by_key.values()))
+        self._backlog = float(self._prefill_tokens)
+        if self._prefilling_by_key:
+            head = next(iter(self._prefilling_by_key.values()))
             base = self.speed.predict(0.0)
             since = min(max(now - head.started_at, 0.0), base)
-            self._left -= min(since / self.speed.token_seconds, head.unread)
-        if run.tokens is not None:
+            self._backlog -= min(
+                since / self.speed.token_seconds, head.own_tokens
+            )
+        if run.total_tokens is not None:
             self.speed.learn(
-                run.tokens, now - run.started_at, was_idle=run.was_idle
+                run.total_tokens, now - run.started_at, was_idle=run.was_idle
             )
 
     def _find_started_before(self, key: str) -> list[str]:
         """Return the keys of what is read before a request."""
         earlier = itertools.takewhile(
-            lambda other: other != key, self._reading_by_key
+            lambda other: other != key, self._prefilling_by_key
         )
         return list(earlier)
 
-    def _note_read(self, key: str, now: float) -> _Run:
-        run = self._stop_reading(key, now)
-        self.cache.note_read(run.job.parts)
+    def _record_prefilled(self, key: str, now: float) -> _Run:
+        run = self._end_prefill(key, now)
+        self.cache.mark_prefilled(run.job.parts)
         return run
 
-    def _stop_reading(self, key: str, now: float) -> _Run | None:
-        run = self._reading_by_key.pop(key, None)
+    def _end_prefill(self, key: str, now: float) -> _Run | None:
+        run = self._prefilling_by_key.pop(key, None)
         if run is not None:
-            self._unread -= run.unread
-            self._left = min(self.unread(now), float(self._unread))
-            self._left_at = now
+            self._prefill_tokens -= run.own_tokens
+            self._backlog = min(
+                self.prefill_backlog(now), float(self._prefill_tokens)
+            )
+            self._backlog_at = now
         return run
 
     def end(self, key: str, now: float) -> None:
@@ -220,11 +224,11 @@
         run = self._run_by_key.pop(key, None)
         if run is None:
             return
-        was_reading = self._stop_reading(key, now) is not None
-        self.cache.generated -= run.job.output_tokens
+        was_prefilling = self._end_prefill(key, now) is not None
+        self.cache.output_tokens -= run.job.output_tokens
         self.cache.end(run.job.parts)
-        if was_reading:
-            self.cache.forget_unread(run.job.parts)
+        if was_prefilling:
+            self.cache.drop_unprefilled(run.job.parts)
 
     def find_running(self, router: str) -> list[str]:
         """Return the keys of a router's requests at the engine."""
--- a/packages/daisypick_core/src/daisypick_core/scheduling/engine_fleet.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/engine_fleet.py
@@ -27,7 +27,7 @@
 import random
 
 from daisypick_core.queues import indexed_set
-from daisypick_core.scheduling import engine_belief
+from daisypick_core.scheduling import engine_estimate
 from daisypick_core.scheduling import job
 from daisypick_core.scheduling import reading_speed
 from daisypick_core.scheduling import recent_holders
@@ -35,11 +35,11 @@
 from daisypick_core.serving import outcomes
 
 # Engines of a fleet of which a decision looks at all.
-_MOST_EXAMINED = 48
+_MAX_SCANNED = 48
 # Engines of a larger fleet that it looks at, besides those that had its prompt.
-_SAMPLED = 24
+_SAMPLE_SIZE = 24
 # Parts whose last engine is remembered; some minutes' worth of a busy host.
-_MOST_PARTS = 20_000
+_MAX_PARTS = 20_000
 
 
 class EngineFleet:
@@ -68,13 +68,15 @@
         self.outcomes = outcomes.Outcomes()
         self.slots = 0
         self.running = 0
-        self._belief_by_server: dict[str, engine_belief.EngineBelief] = {}
-        self._holders = recent_holders.RecentHolders(most=_MOST_PARTS)
+        self._estimate_by_server: dict[str, engine_estimate.EngineEstimate] = {}
+        self._holders = recent_holders.RecentHolders(max_parts=_MAX_PARTS)
         # Servers that may get work and have a free slot.
-        self._with_slot: indexed_set.IndexedSet[str] = indexed_set.IndexedSet()
+        self._with_free_slot: indexed_set.IndexedSet[str] = (
+            indexed_set.IndexedSet()
+        )
         # Stands for every engine that had no request yet; nothing is ever
         # started at it.
-        self._unused = self._make_belief(slots=1)
+        self._idle_estimate = self._make_estimate(slots=1)
 
     def __len__(self) -> int:
         """Return how many servers may get work."""
@@ -94,17 +96,17 @@
         if share == self._share:
             return
         self._share = share
-        for server in self._belief_by_server:
-            self._note_slot(server)
+        for server in self._estimate_by_server:
+            self._update_free_slot(server)
 
-    def _note_slot(self, server: str) -> None:
+    def _update_free_slot(self, server: str) -> None:
         has_slot = self.find(server).has_slot(self._share)
-        self._with_slot.put(
+        self._with_free_slot.put(
             server, is_member=has_slot and server in self.state_by_server
         )
 
-    def _make_belief(self, *, slots: int) -> engine_belief.EngineBelief:
-        return engine_belief.EngineBelief(
+    def _make_estimate(self, *, slots: int) -> engine_estimate.EngineEstimate:
+        return engine_estimate.EngineEstimate(
             slots=slots,
             kv_tokens=self._kv_tokens,
             speed=reading_speed.EngineSpeed(service=self._speed),
@@ -123,81 +125,84 @@
 
         One that started anew knows nothing of before.
         """
-        before = self.state_by_server.get(state.name)
-        if before == state:
+        previous = self.state_by_server.get(state.name)
+        if previous == state:
             return
-        if before is not None:
-            self._uncount(before)
-            if before.born != state.born:
-                self._belief_by_server.pop(state.name, None)
+        if previous is not None:
+            self._subtract(previous)
+            if previous.born != state.born:
+                self._estimate_by_server.pop(state.name, None)
         self.state_by_server[state.name] = state
         self.data_centre_by_server[state.name] = state.data_centre
         self.slots += state.slots
-        belief = self._belief_by_server.get(state.name)
-        if belief is not None:
-            belief.slots = state.slots
-            self.running += belief.running
-        self._note_slot(state.name)
+        estimate = self._estimate_by_server.get(state.name)
+        if estimate is not None:
+            estimate.slots = state.slots
+            self.running += estimate.running
+        self._update_free_slot(state.name)
 
     def drop(self, server: str) -> None:
         """Take note that a server gets no more work."""
         state = self.state_by_server.get(server)
         if state is None:
             return
-        self._uncount(state)
+        self._subtract(state)
         del self.state_by_server[server]
         del self.data_centre_by_server[server]
-        self._with_slot.discard(server)
-        self._forget_if_idle(server)
+        self._with_free_slot.discard(server)
+        self._drop_if_idle(server)
 
-    def _uncount(self, state: server_state.ServerState) -> None:
+    def _subtract(self, state: server_state.ServerState) -> None:
         self.slots -= state.slots
         self.running -= self.find(state.name).running
 
-    def _forget_if_idle(self, server: str) -> None:
-        belief = self._belief_by_server.get(server)
+    def _drop_if_idle(self, server: str) -> None:
+        estimate = self._estimate_by_server.get(server)
         if server in self.state_by_server:
             return
-        if belief is None or not belief.running:
-            self._belief_by_server.pop(server, None)
+        if estimate is None or not estimate.running:
+            self._estimate_by_server.pop(server, None)
             self.outcomes.forget(server)
 
-    def find(self, server: str) -> engine_belief.EngineBelief:
+    def find(self, server: str) -> engine_estimate.EngineEstimate:
         """Return what is believed of a server; not to be changed."""
-        return self._belief_by_server.get(server, self._unused)
+        return self._estimate_by_server.get(server, self._idle_estimate)
 
     def find_candidates(self, rng: random.Random) -> list[str]:
         """Return the servers that a round of decisions looks at."""
-        if len(self.state_by_server) <= _MOST_EXAMINED:
+        if len(self.state_by_server) <= _MAX_SCANNED:
             return list(self.state_by_server)
-        with_slot = self._with_slot.items
-        count = len(with_slot)
-        if count <= _SAMPLED:
-            return list(with_slot)
-        return [with_slot[int(rng.random() * count)] for _ in range(_SAMPLED)]
+        with_free_slot = self._with_free_slot.items
+        count = len(with_free_slot)
+        if count <= _SAMPLE_SIZE:
+            return list(with_free_slot)
+        return [
+            with_free_slot[int(rng.random() * count)]
+            for _ in range(_SAMPLE_SIZE)
+        ]
 
     def find_holders(self, parts: Sequence[job.Part]) -> list[str]:
         """Return servers that may keep parts of a prompt."""
-        if len(self.state_by_server) <= _MOST_EXAMINED:
+        if len(self.state_by_server) <= _MAX_SCANNED:
             return list(self.state_by_server)
         return self._holders.find(parts)
 
-    def count_kept(self, parts: Sequence[job.Part]) -> int:
+    def count_cached(self, parts: Sequence[job.Part]) -> int:
         """Return the most tokens of a prompt that an engine keeps."""
         return max(
             (
-                self.find(server).cache.count_kept(parts)
+                self.find(server).cache.count_cached(parts)
                 for server in self.find_holders(parts)
                 if server in self.state_by_server
             ),
             default=0,
         )
 
-    def find_least_wait(self, rng: random.Random, now: float) -> float:
+    def find_min_wait(self, rng: random.Random, now: float) -> float:
         """Return the least seconds of reading ahead of a new request."""
         return min(
             (
-                self.find(server).wait(now)
+                self.find(server).prefill_wait(now)
                 for server in self.find_candidates(rng)
             ),
             default=0.0,
@@ -213,31 +218,31 @@
         saved: float,
     ) -> bool:
         """A request is sent to a server; return whether we know that one."""
-        belief = self._belief_by_server.get(server)
+        estimate = self._estimate_by_server.get(server)
         state = self.state_by_server.get(server)
-        if belief is None:
+        if estimate is None:
             if state is None:
                 return False
-            belief = self._make_belief(slots=state.slots)
-            self._belief_by_server[server] = belief
-        belief.start(work, now, ahead=ahead, saved=saved)
+            estimate = self._make_estimate(slots=state.slots)
+            self._estimate_by_server[server] = estimate
+        estimate.start(work, now, ahead=ahead, saved=saved)
         self._holders.note(work.parts, server)
         if state is not None:
             self.running += 1
-            self._note_slot(server)
+            self._update_free_slot(server)
         return True
 
     def end(self, server: str, key: str, now: float) -> None:
         """A request ended at a server."""
-        belief = self._belief_by_server.get(server)
-        if belief is None or key not in belief:
+        estimate = self._estimate_by_server.get(server)
+        if estimate is None or key not in estimate:
             return
-        belief.end(key, now)
+        estimate.end(key, now)
         if server in self.state_by_server:
             self.running -= 1
-            self._note_slot(server)
+            self._update_free_slot(server)
         else:
-            self._forget_if_idle(server)
+            self._drop_if_idle(server)
 
     def note_first_token(
         self,
@@ -248,23 +253,23 @@
         learn: bool,
         late: bool = False,
     ) -> None:
-        """A request's first token came; see ``EngineBelief``."""
-        belief = self._belief_by_server.get(server)
-        if belief is not None:
-            belief.note_first_token(key, now, learn=learn, late=late)
+        """A request's first token came; see ``EngineEstimate``."""
+        estimate = self._estimate_by_server.get(server)
+        if estimate is not None:
+            estimate.note_first_token(key, now, learn=learn, late=late)
 
     def find_running(self, router: str) -> list[tuple[str, str]]:
         """Return server and key of a router's requests."""
         return [
             (server, key)
-            for server, belief in self._belief_by_server.items()
-            for key in belief.find_running(router)
+            for server, estimate in self._estimate_by_server.items()
+            for key in estimate.find_running(router)
         ]
 
     def find_overdue(self, now: float) -> list[tuple[str, str]]:
         """Return server and key of requests whose callers have given up."""
         return [
             (server, key)
-            for server, belief in self._belief_by_server.items()
-            for key in belief.find_overdue(now)
+            for server, estimate in self._estimate_by_server.items()
+            for key in estimate.find_overdue(now)
         ]
--- a/packages/daisypick_core/src/daisypick_core/scheduling/fair_share.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/fair_share.py
@@ -9,12 +9,12 @@
 Examples:
     >>> shares = FairShare(window_seconds=4.0)
     >>> shares.set_capacity(tokens_per_second=100.0)
-    >>> shares.ask("farm", 50.0, now=0.0)
+    >>> shares.add_demand("farm", 50.0, now=0.0)
     >>> for _ in range(10):
-    ...     shares.ask("flood", 100.0, now=0.0)
+    ...     shares.add_demand("flood", 100.0, now=0.0)
     >>> shares.find_level(now=0.0)
     350.0
-    >>> shares.begin("flood", 300.0, now=0.0)
+    >>> shares.add_usage("flood", 300.0, now=0.0)
     >>> shares.is_within("flood", 100.0, now=0.5)
     False
     >>> shares.is_within("farm", 50.0, now=0.5)
@@ -28,25 +28,25 @@
 # a hundred of a window that moves with every request.
 _STEPS = 16
 # How long a computed level is used: half a step of a window of four seconds.
-_LEVEL_SECONDS = 0.1
+_LEVEL_CACHE_SECONDS = 0.1
 
 
 class _SlidingSum:
     """Sum over the last steps."""
 
-    __slots__ = ("_first", "_sums", "newest", "total")
+    __slots__ = ("_first", "_sums", "newest_step", "total")
 
     def __init__(self) -> None:
         self._first = 0
         # Step of the newest amount.
-        self.newest = 0
+        self.newest_step = 0
         self._sums: list[float] = [0.0] * _STEPS
         self.total = 0.0
 
     def move_to(self, step: int) -> None:
         """Drop the steps that have left the window."""
-        for gone in range(self._first, min(step, self._first + _STEPS)):
-            index = gone % _STEPS
+        for expired_step in range(self._first, min(step, self._first + _STEPS)):
+            index = expired_step % _STEPS
             self.total -= self._sums[index]
             self._sums[index] = 0.0
         self._first = max(step, self._first)
@@ -55,37 +55,39 @@
         """Add to the newest step."""
         self.move_to(step)
         self._sums[(step + _STEPS - 1) % _STEPS] += amount
-        self.newest = max(self.newest, step)
+        self.newest_step = max(self.newest_step, step)
         self.total += amount
 
 
-def fill(demands: Iterable[float], capacity: float) -> float:
+def find_max_min_level(demands: Iterable[float], capacity: float) -> float:
     """Return the level up to which demands are met; infinite if all are.
 
     Examples:
-        >>> fill([1.0, 5.0, 9.0], 9.0)
+        >>> find_max_min_level([1.0, 5.0, 9.0], 9.0)
         4.0
-        >>> fill([1.0, 2.0], 9.0)
+        >>> find_max_min_level([1.0, 2.0], 9.0)
         inf
     """
-    left = capacity
+    remaining = capacity
     ordered = sorted(demands)
     for index, demand in enumerate(ordered):
-        even = left / (len(ordered) - index)
-        if demand > even:
-            return even
-        left -= demand
+        equal_share = remaining / (len(ordered) - index)
+        if demand > equal_share:
+            return equal_share
+        remaining -= demand
     return math.inf
 
 
-def _drop_old(sum_by_organisation: dict[str, _SlidingSum], step: int) -> None:
+def _drop_expired(
+    sum_by_organisation: dict[str, _SlidingSum], step: int
+) -> None:
     """Drop organisations of which nothing lies in the window any more."""
-    old = [
+    expired = [
         organisation
-        for organisation, known in sum_by_organisation.items()
-        if step - known.newest > _STEPS
+        for organisation, total in sum_by_organisation.items()
+        if step - total.newest_step > _STEPS
     ]
-    for organisation in old:
+    for organisation in expired:
         del sum_by_organisation[organisation]
 
 
@@ -96,8 +98,8 @@
         self._seconds = window_seconds
         self._step_seconds = window_seconds / _STEPS
         self._capacity = 0.0
-        self._asked: dict[str, _SlidingSum] = {}
-        self._begun: dict[str, _SlidingSum] = {}
+        self._demand_by_organisation: dict[str, _SlidingSum] = {}
+        self._usage_by_organisation: dict[str, _SlidingSum] = {}
         self._level = math.inf
         self._level_at = -math.inf
 
@@ -108,48 +110,58 @@
     def _step(self, now: float) -> int:
         return int(now / self._step_seconds)
 
-    def ask(self, organisation: str, tokens: float, now: float) -> None:
+    def add_demand(self, organisation: str, tokens: float, now: float) -> None:
         """Count a request that wants to run."""
-        asked = self._asked.setdefault(organisation, _SlidingSum())
-        asked.add(self._step(now), tokens)
+        demand = self._demand_by_organisation.setdefault(
+            organisation, _SlidingSum()
+        )
+        demand.add(self._step(now), tokens)
 
-    def begin(self, organisation: str, tokens: float, now: float) -> None:
+    def add_usage(self, organisation: str, tokens: float, now: float) -> None:
         """Count a request that runs."""
-        begun = self._begun.setdefault(organisation, _SlidingSum())
-        begun.add(self._step(now), tokens)
+        usage = self._usage_by_organisation.setdefault(
+            organisation, _SlidingSum()
+        )
+        usage.add(self._step(now), tokens)
 
     def __len__(self) -> int:
         """Return how many organisations are remembered."""
-        return len(self._asked.keys() | self._begun.keys())
+        return len(
+            self._demand_by_organisation.keys()
+            | self._usage_by_organisation.keys()
+        )
 
     def find_level(self, now: float) -> float:
         """Return the tokens of the window that each may have at the most."""
-        if now - self._level_at < _LEVEL_SECONDS:
+        if now - self._level_at < _LEVEL_CACHE_SECONDS:
             return self._level
         self._level_at = now
         self._level = math.inf
         step = self._step(now)
-        _drop_old(self._asked, step)
-        _drop_old(self._begun, step)
+        _drop_expired(self._demand_by_organisation, step)
+        _drop_expired(self._usage_by_organisation, step)
         if self._capacity > 0.0:
-            for asked in self._asked.values():
-                asked.move_to(step)
-            self._level = fill(
-                (asked.total for asked in self._asked.values()),
+            for demand in self._demand_by_organisation.values():
+                demand.move_to(step)
+            self._level = find_max_min_level(
+                (
+                    demand.total
+                    for demand in self._demand_by_organisation.values()
+                ),
                 self._capacity,
             )
         return self._level
 
-    def read_begun(self, organisation: str, now: float) -> float:
+    def find_usage(self, organisation: str, now: float) -> float:
         """Return what an organisation has begun in the window."""
-        begun = self._begun.get(organisation)
-        if begun is None:
+        usage = self._usage_by_organisation.get(organisation)
+        if usage is None:
             return 0.0
-        begun.move_to(self._step(now))
-        return begun.total
+        usage.move_to(self._step(now))
+        return usage.total
 
     def is_within(self, organisation: str, tokens: float, now: float) -> bool:
         """Tell whether a request is within its organisation's share."""
         level = self.find_level(now)
-        begun = self.read_begun(organisation, now)
-        return begun == 0.0 or begun + tokens <= level
+        usage = self.find_usage(organisation, now)
+        return usage == 0.0 or usage + tokens <= level
--- a/packages/daisypick_core/src/daisypick_core/scheduling/fair_windows.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/fair_windows.py
@@ -21,8 +21,8 @@
 
 SPAN_SECONDS = 6
 # Requests that may start a moment sooner or later than the span.
-_ALLOWED_LARGEST = 3
-_DUE_SHARE = 0.5
+_TOLERATED_REQUESTS = 3
+_ENTITLED_SHARE = 0.5
 
 _SecondBySecond = Mapping[int, "Second"]
 
@@ -83,14 +83,14 @@
         return []
     worst: dict[str, Served] = {}
     for begins in range(min(numbers), max(numbers) - SPAN_SECONDS + 2):
-        for served in _judge_span(by_organisation, begins):
-            before = worst.get(served.organisation)
-            if before is None or served.margin < before.margin:
+        for served in _evaluate_span(by_organisation, begins):
+            previous = worst.get(served.organisation)
+            if previous is None or served.margin < previous.margin:
                 worst[served.organisation] = served
     return sorted(worst.values(), key=lambda served: served.margin)
 
 
-def _judge_span(
+def _evaluate_span(
     by_organisation: Mapping[str, _SecondBySecond], begins: int
 ) -> list[Served]:
     spans = {
@@ -101,18 +101,18 @@
         for organisation, seconds in by_organisation.items()
     }
     best = max(spans, key=lambda organisation: _sum_got(spans[organisation]))
-    judged = []
+    starved = []
     for organisation, span in spans.items():
         if not all(second.missed for second in span):
             continue
-        due = _DUE_SHARE * sum(
-            min(own.asked, other.got)
-            for own, other in zip(span, spans[best], strict=True)
+        entitled = _ENTITLED_SHARE * sum(
+            min(own.asked, best_second.got)
+            for own, best_second in zip(span, spans[best], strict=True)
         )
-        if due <= 0.0:
+        if entitled <= 0.0:
             continue
-        allowed = _ALLOWED_LARGEST * max(second.largest for second in span)
-        judged.append(
+        tolerance = _TOLERATED_REQUESTS * max(second.largest for second in span)
+        starved.append(
             Served(
                 organisation=organisation,
                 begins=begins,
@@ -120,10 +120,10 @@
                 got=_sum_got(span),
                 best=best,
                 best_got=_sum_got(spans[best]),
-                margin=round((_sum_got(span) + allowed) / due, 3),
+                margin=round((_sum_got(span) + tolerance) / entitled, 3),
             )
         )
-    return judged
+    return starved
 
 
 def _sum_got(span: list[Second]) -> float:
--- a/packages/daisypick_core/src/daisypick_core/scheduling/fleet_report.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/fleet_report.py
@@ -9,7 +9,7 @@
 from daisypick_core.scheduling import engine_fleet
 
 # Engines that are named: the fullest ones.
-_NAMED = 48
+_MAX_LISTED = 48
 
 
 def describe_engines(
@@ -17,7 +17,9 @@
 ) -> list[dict[str, object]]:
     """Return a line for each of the fullest engines."""
     names = heapq.nlargest(
-        _NAMED, fleet.state_by_server, key=lambda name: fleet.find(name).running
+        _MAX_LISTED,
+        fleet.state_by_server,
+        key=lambda name: fleet.find(name).running,
     )
     return [_describe_engine(fleet, name, now) for name in names]
 
@@ -38,11 +40,11 @@
     return {
         "server": name,
         "running": engine.running,
-        "unread": int(engine.unread(now)),
-        "held": engine.cache.held,
+        "unread": int(engine.prefill_backlog(now)),
+        "held": engine.cache.pinned,
         "token_us": round(engine.speed.token_seconds * 1e6, 1),
         "base": round(engine.speed.predict(0.0), 4),
-        "spread": round(engine.speed.spread, 3),
+        "spread": round(engine.speed.relative_error, 3),
         "cold": fleet.state_by_server[name].cold_until > now,
         "aside": fleet.outcomes.is_aside(name, now),
     }
--- a/packages/daisypick_core/src/daisypick_core/scheduling/hosts.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/hosts.py
@@ -22,28 +22,28 @@
 
 # Processors that differ by less than this part of a core count as equal; two
 # VMs of one kind are told figures that differ in the second digit.
-_POWER_STEP = 0.25
+_CORES_STEP = 0.25
 
 
-def _weigh(service: str, router: str) -> bytes:
+def _hash_weight(service: str, router: str) -> bytes:
     text = f"{service}\0{router}".encode()
     return hashlib.blake2b(text, digest_size=8).digest()
 
 
 def order_hosts(
-    service: str, power_by_router: Mapping[str, float]
+    service: str, cores_by_router: Mapping[str, float]
 ) -> list[str]:
     """Return the routers in the order in which they host a service.
 
     Args:
         service: Name of the service.
-        power_by_router: Cores that each router's process may use.
+        cores_by_router: Cores that each router's process may use.
     """
     return sorted(
-        power_by_router,
+        cores_by_router,
         key=lambda router: (
-            -round(power_by_router[router] / _POWER_STEP),
-            _weigh(service, router),
+            -round(cores_by_router[router] / _CORES_STEP),
+            _hash_weight(service, router),
             router,
         ),
     )
--- a/packages/daisypick_core/src/daisypick_core/scheduling/job.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/job.py
@@ -46,8 +46,8 @@
 
     def find_waited_share(self, now: float) -> float:
         """Return which part of its objective the request has waited."""
-        patience = self.objective_at - self.arrived_at
-        return (now - self.arrived_at) / max(patience, 0.001)
+        objective_seconds = self.objective_at - self.arrived_at
+        return (now - self.arrived_at) / max(objective_seconds, 0.001)
 
 
 def find_cost(prompt_tokens: int, output_tokens: int) -> float:
--- a/packages/daisypick_core/src/daisypick_core/scheduling/organisation_tally.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/organisation_tally.py
@@ -35,7 +35,7 @@
         sums = self._sums_by_organisation[organisation]
         sums[name] = max(sums[name], value)
 
-    def take(self, most: int, *, by: str) -> list[dict[str, str | float]]:
+    def take(self, limit: int, *, by: str) -> list[dict[str, str | float]]:
         """Return the rows with the greatest sums of a name, and start anew."""
         taken = sorted(
             self._sums_by_organisation.items(),
@@ -45,5 +45,5 @@
         self._sums_by_organisation.clear()
         return [
             {"organisation": organisation, **sums}
-            for organisation, sums in taken[:most]
+            for organisation, sums in taken[:limit]
         ]
--- a/packages/daisypick_core/src/daisypick_core/scheduling/pauses.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/pauses.py
@@ -21,7 +21,7 @@
 
 # How long an organisation counts as a flood after its last pause; some times
 # as long as the loop of a busy VM is late.
-_FLOOD_SECONDS = 2.0
+_RECENT_PAUSE_SECONDS = 2.0
 
 
 class Pauses:
@@ -40,7 +40,7 @@
 
     def was_paused(self, organisation: str, now: float) -> bool:
         """Tell whether an organisation was paused a moment ago, or is now."""
-        return now < self._find_end(organisation) + _FLOOD_SECONDS
+        return now < self._find_end(organisation) + _RECENT_PAUSE_SECONDS
 
     def _find_end(self, organisation: str) -> float:
         return self._until_by_organisation.get(organisation, -math.inf)
--- a/packages/daisypick_core/src/daisypick_core/scheduling/placement.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/placement.py
@@ -14,36 +14,36 @@
 from collections.abc import Mapping
 import typing
 
-from daisypick_core.scheduling import engine_belief
+from daisypick_core.scheduling import engine_estimate
 from daisypick_core.scheduling import job
 
 # Seconds of reading that may wait at one engine. What waits here can still
 # be ordered, what waits there cannot; this much keeps an engine busy until
 # the next start reaches it.
-OPEN_SECONDS = 0.1
+MAX_BACKLOG_SECONDS = 0.1
 # How many times the usual error of a prediction a first token must be ahead
 # of its objective.
-_MARGIN = 1.0
+_ERROR_MARGIN = 1.0
 # Seconds that a request in the batch counts when engines are compared: it
 # slows the tokens of all others a little.
-_SLOT_SECONDS = 0.0015
+_BATCH_SLOT_SECONDS = 0.0015
 # How much a token that another engine keeps counts when it is read again.
 # Reading it costs the engine once; dropping from its memory what others need
 # costs several times that.
-_REREAD_WEIGHT = 12.0
+_RECOMPUTE_WEIGHT = 12.0
 # What an engine in another data centre counts more, in seconds: an equal one
 # nearby goes first, one that keeps a long part of the prompt does not.
-_AWAY_SECONDS = 0.01
+_REMOTE_SECONDS = 0.01
 # Kept tokens, beyond what any open engine keeps, for which a request waits:
 # about as many as a short request has of its own.
-_WORTH_WAITING_TOKENS = 2000
+_MIN_WAIT_GAIN_TOKENS = 2000
 
 # Least tokens that are worth a copy, which takes a message between engines.
-_LEAST_COPIED = 50
+_MIN_COPIED_TOKENS = 50
 # Part of the time of reading that copying may take at the most, and how much
 # of its own time it counts: copies wait for each other on an engine's link,
 # and what two engines keep drops something else from the memory of one.
-_MOST_COPY_SHARE = 0.5
+_MAX_COPY_SHARE = 0.5
 _COPY_WEIGHT = 6.0
 
 
@@ -61,15 +61,15 @@
     """
 
     server: str
-    kept: int
+    cached: int
     ahead: float
-    elsewhere: int
+    max_cached: int
     source: str
     copied: int
     saved: float
 
 
-class _Kept(typing.NamedTuple):
+class _CachedPrefix(typing.NamedTuple):
     """Tokens of a prompt that engines keep.
 
     Attributes:
@@ -80,19 +80,19 @@
     """
 
     by_server: dict[str, int]
-    most: int
+    max_cached: int
     source: str
-    read: int
+    prefilled: int
 
 
 def choose(
     work: job.Job,
     *,
-    engine_by_server: Mapping[str, engine_belief.EngineBelief],
-    ahead_by_server: Mapping[str, float],
+    engine_by_server: Mapping[str, engine_estimate.EngineEstimate],
+    backlog_by_server: Mapping[str, float],
     busy: Collection[str],
     data_centre_by_server: Mapping[str, str],
-    bears: Callable[[str], bool],
+    can_handle: Callable[[str], bool],
     share: float,
     may_wait: bool,
     now: float,
@@ -103,43 +103,47 @@
     Args:
         work: The request.
         engine_by_server: All engines whose memory counts.
-        ahead_by_server: Unread tokens of the engines that are open.
+        backlog_by_server: Unread tokens of the engines that are open.
         busy: Engines that are closed only for what they have to read.
         data_centre_by_server: Where the engines are.
-        bears: Tells whether a server, which may be cold, bears one more.
+        can_handle: Tells whether a server, which may be cold, bears one more.
         share: Part of every engine that may be used.
         may_wait: Whether the request has time to wait for a busy engine.
         now: The time.
         copy_token_seconds: Seconds in which an engine copies a token of KV
             cache from another one; zero if it cannot.
     """
-    kept = _find_kept(work, engine_by_server)
+    prefix = _find_cached_prefix(work, engine_by_server)
     best = None
     best_cost = 0.0
-    most_busy = max(
-        (kept.by_server[name] for name in busy if name not in work.avoid),
+    max_busy_cached = max(
+        (prefix.by_server[name] for name in busy if name not in work.avoid),
         default=0,
     )
-    for server, ahead in ahead_by_server.items():
-        if server in work.avoid or not bears(server):
+    for server, ahead in backlog_by_server.items():
+        if server in work.avoid or not can_handle(server):
             continue
         engine = engine_by_server[server]
-        own = kept.by_server[server]
-        copied = _count_copied(kept.read - own, engine, copy_token_seconds)
+        cached = prefix.by_server[server]
+        copied = _count_copied(
+            prefix.prefilled - cached, engine, copy_token_seconds
+        )
         saved = copied * _find_saved_share(engine, copy_token_seconds)
-        unread = max(work.prompt_tokens - own - saved, 0.0)
-        if ahead and not _is_in_time(work, engine, ahead / share + unread, now):
-            most_busy = max(most_busy, own)
+        to_prefill = max(work.prompt_tokens - cached - saved, 0.0)
+        if ahead and not _is_in_time(
+            work, engine, ahead / share + to_prefill, now
+        ):
+            max_busy_cached = max(max_busy_cached, cached)
             continue
-        again = max(kept.most - own - copied, 0)
+        recomputed = max(prefix.max_cached - cached - copied, 0)
         cost = (
-            (ahead + unread + again * _REREAD_WEIGHT)
+            (ahead + to_prefill + recomputed * _RECOMPUTE_WEIGHT)
             * engine.speed.token_seconds
             + copied * copy_token_seconds * _COPY_WEIGHT
-            + engine.running * _SLOT_SECONDS
+            + engine.running * _BATCH_SLOT_SECONDS
         )
         if data_centre_by_server[server] != work.data_centre:
-            cost += _AWAY_SECONDS
+            cost += _REMOTE_SECONDS
         if best is not None and cost >= best_cost:
             continue
         if not engine.has_memory(work, share):
@@ -147,59 +151,59 @@
         best_cost = cost
         best = Placement(
             server=server,
-            kept=own,
+            cached=cached,
             ahead=ahead,
-            elsewhere=kept.most,
-            source=kept.source if copied else "",
+            max_cached=prefix.max_cached,
+            source=prefix.source if copied else "",
             copied=copied,
             saved=saved,
         )
     if (
         may_wait
         and best is not None
-        and most_busy - best.kept - best.copied >= _WORTH_WAITING_TOKENS
+        and max_busy_cached - best.cached - best.copied >= _MIN_WAIT_GAIN_TOKENS
     ):
         return None
     return best
 
 
-def _find_kept(
+def _find_cached_prefix(
     work: job.Job,
-    engine_by_server: Mapping[str, engine_belief.EngineBelief],
-) -> _Kept:
+    engine_by_server: Mapping[str, engine_estimate.EngineEstimate],
+) -> _CachedPrefix:
     by_server = {}
-    source, read, least_running = "", 0, 0
+    source, prefilled, min_running = "", 0, 0
     for server, engine in engine_by_server.items():
-        by_server[server] = engine.cache.count_kept(work.parts)
+        by_server[server] = engine.cache.count_cached(work.parts)
         if not by_server[server]:
             continue
-        has_read = engine.cache.count_read(work.parts)
-        if has_read > read or (
-            has_read and has_read == read and engine.running < least_running
+        tokens = engine.cache.count_prefilled(work.parts)
+        if tokens > prefilled or (
+            tokens and tokens == prefilled and engine.running < min_running
         ):
-            source, read, least_running = server, has_read, engine.running
-    return _Kept(
+            source, prefilled, min_running = server, tokens, engine.running
+    return _CachedPrefix(
         by_server=by_server,
-        most=max(by_server.values()),
+        max_cached=max(by_server.values()),
         source=source,
-        read=read,
+        prefilled=prefilled,
     )
 
 
 def _count_copied(
     wanted: int,
-    engine: engine_belief.EngineBelief,
+    engine: engine_estimate.EngineEstimate,
     copy_token_seconds: float,
 ) -> int:
     """Return how many tokens an engine copies of those it could."""
-    if wanted < _LEAST_COPIED or not copy_token_seconds:
+    if wanted < _MIN_COPIED_TOKENS or not copy_token_seconds:
         return 0
     copy_share = copy_token_seconds / engine.speed.token_seconds
-    return wanted if copy_share <= _MOST_COPY_SHARE else 0
+    return wanted if copy_share <= _MAX_COPY_SHARE else 0
 
 
 def _find_saved_share(
-    engine: engine_belief.EngineBelief, copy_token_seconds: float
+    engine: engine_estimate.EngineEstimate, copy_token_seconds: float
 ) -> float:
     """Return the part of the time of reading that copying spares."""
     return 1.0 - copy_token_seconds / engine.speed.token_seconds
@@ -207,11 +211,11 @@
 
 def _is_in_time(
     work: job.Job,
-    engine: engine_belief.EngineBelief,
+    engine: engine_estimate.EngineEstimate,
     tokens: float,
     now: float,
 ) -> bool:
     seconds = engine.speed.predict(tokens)
-    return now + seconds * (1.0 + _MARGIN * engine.speed.spread) <= (
-        work.objective_at
-    )
+    return now + seconds * (
+        1.0 + _ERROR_MARGIN * engine.speed.relative_error
+    ) <= (work.objective_at)
--- a/packages/daisypick_core/src/daisypick_core/scheduling/prefix_cache.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/prefix_cache.py
@@ -10,10 +10,10 @@
     >>> cache = PrefixCache(capacity=100)
     >>> system, talk = job.Part("a", 30), job.Part("b", 40)
     >>> cache.begin([system, talk]); cache.end([system, talk])
-    >>> cache.count_kept([system, job.Part("c", 9)])
+    >>> cache.count_cached([system, job.Part("c", 9)])
     30
     >>> cache.begin([job.Part("d", 60)])
-    >>> cache.count_kept([system, talk])
+    >>> cache.count_cached([system, talk])
     0
 """
 
@@ -31,77 +31,77 @@
         self._tokens_by_part: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
-        self._users_by_part: dict[str, int] = {}
-        self._read: set[str] = set()
-        self._kept = 0
-        self._held = 0
-        self.generated = 0
+        self._references_by_part: dict[str, int] = {}
+        self._prefilled: set[str] = set()
+        self._cached = 0
+        self._pinned = 0
+        self.output_tokens = 0
 
     @property
-    def held(self) -> int:
+    def pinned(self) -> int:
         """Tokens that cannot be dropped: of running requests."""
-        return self._held + self.generated
+        return self._pinned + self.output_tokens
 
-    def count_kept(self, parts: Iterable[job.Part]) -> int:
+    def count_cached(self, parts: Iterable[job.Part]) -> int:
         """Return the tokens of the leading parts that are kept."""
-        kept = 0
+        cached = 0
         for part in parts:
             if part.name not in self._tokens_by_part:
                 break
-            kept += part.tokens
-        return kept
+            cached += part.tokens
+        return cached
 
-    def count_read(self, parts: Iterable[job.Part]) -> int:
+    def count_prefilled(self, parts: Iterable[job.Part]) -> int:
         """Return the tokens of the leading parts that were read in full.
 
         Only these can be copied to another engine; the rest is on its way.
         """
-        read = 0
+        prefilled = 0
         for part in parts:
-            if part.name not in self._read:
+            if part.name not in self._prefilled:
                 break
-            read += part.tokens
-        return read
+            prefilled += part.tokens
+        return prefilled
 
-    def note_read(self, parts: Iterable[job.Part]) -> None:
+    def mark_prefilled(self, parts: Iterable[job.Part]) -> None:
         """A prompt of these parts was read."""
-        self._read.update(
+        self._prefilled.update(
             part.name for part in parts if part.name in self._tokens_by_part
         )
 
-    def count_unheld(self, parts: Iterable[job.Part]) -> int:
+    def count_unpinned(self, parts: Iterable[job.Part]) -> int:
         """Return the tokens that would be held in addition."""
         return sum(
             part.tokens
             for part in parts
-            if part.name not in self._users_by_part
+            if part.name not in self._references_by_part
         )
 
     def begin(self, parts: Iterable[job.Part]) -> None:
         """A request with these parts starts."""
         for part in parts:
-            users = self._users_by_part.get(part.name, 0)
-            self._users_by_part[part.name] = users + 1
-            if not users:
-                self._held += part.tokens
+            references = self._references_by_part.get(part.name, 0)
+            self._references_by_part[part.name] = references + 1
+            if not references:
+                self._pinned += part.tokens
             if part.name not in self._tokens_by_part:
-                self._kept += part.tokens
+                self._cached += part.tokens
             self._tokens_by_part[part.name] = part.tokens
             self._tokens_by_part.move_to_end(part.name)
-        self._drop_oldest()
+        self._evict()
 
     def end(self, parts: Iterable[job.Part]) -> None:
         """A request with these parts ended; they may be dropped now."""
         for part in parts:
-            users = self._users_by_part.get(part.name, 0)
-            if users > 1:
-                self._users_by_part[part.name] = users - 1
-            elif users:
-                del self._users_by_part[part.name]
-                self._held -= part.tokens
-        self._drop_oldest()
-
-    def forget_unread(self, parts: Iterable[job.Part]) -> None:
+            references = self._references_by_part.get(part.name, 0)
+            if references > 1:
+                self._references_by_part[part.name] = references - 1
+            elif references:
+                del self._references_by_part[part.name]
+                self._pinned -= part.tokens
+        self._evict()
+
+    def drop_unprefilled(self, parts: Iterable[job.Part]) -> None:
         """Drop parts that nobody reads any more and that were not read.
 
         A request that ends before its first token leaves them half read at
@@ -109,17 +109,20 @@
         that has to read them again.
         """
         for part in parts:
-            if part.name in self._read or part.name in self._users_by_part:
+            if (
+                part.name in self._prefilled
+                or part.name in self._references_by_part
+            ):
                 continue
-            self._kept -= self._tokens_by_part.pop(part.name, 0)
+            self._cached -= self._tokens_by_part.pop(part.name, 0)
 
-    def _drop_oldest(self) -> None:
-        if self._kept + self.generated <= self._capacity:
+    def _evict(self) -> None:
+        if self._cached + self.output_tokens <= self._capacity:
             return
         for name in list(self._tokens_by_part):
-            if name in self._users_by_part:
+            if name in self._references_by_part:
                 continue
-            self._kept -= self._tokens_by_part.pop(name)
-            self._read.discard(name)
-            if self._kept + self.generated <= self._capacity:
+            self._cached -= self._tokens_by_part.pop(name)
+            self._prefilled.discard(name)
+            if self._cached + self.output_tokens <= self._capacity:
                 return
--- a/packages/daisypick_core/src/daisypick_core/scheduling/reading_speed.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/reading_speed.py
@@ -24,22 +24,22 @@
 # Where the belief starts, in seconds and in seconds a token. Weighs as much
 # as one first token at each of two sizes, so a handful of first tokens
 # outweigh it.
-_FIRST_BASE = 0.03
-_FIRST_TOKEN_SECONDS = 1.0 / 50_000.0
+_INITIAL_BASE_SECONDS = 0.03
+_INITIAL_TOKEN_SECONDS = 1.0 / 50_000.0
 _PRIOR_TOKENS = 5000.0
 # Part of what is known that each first token leaves in force: some hundred
 # first tokens of a service make its line, some ten of an engine its factor.
-_SERVICE_MEMORY = 0.99
-_ENGINE_MEMORY = 0.9
+_SERVICE_DECAY = 0.99
+_ENGINE_DECAY = 0.9
 # Bounds of an engine's factor: one lie or one lost answer must neither shut
 # an engine out nor open it to everything.
-_LEAST_FACTOR, _MOST_FACTOR = 0.3, 20.0
-_LEAST_SECONDS = 0.001
+_MIN_FACTOR, _MAX_FACTOR = 0.3, 20.0
+_MIN_SECONDS = 0.001
 # A first token counts as at most so many times later, or sooner, than
 # expected. Some wait for a place in a full batch or for memory, which says
 # nothing of reading: unbounded, a few of them tilted the line until tokens
 # seemed to take no time.
-_MOST_OFF = 2.0
+_MAX_ERROR_RATIO = 2.0
 
 
 class ServiceSpeed:
@@ -56,13 +56,13 @@
     def __init__(
         self,
         *,
-        base: float = _FIRST_BASE,
-        token_seconds: float = _FIRST_TOKEN_SECONDS,
+        base: float = _INITIAL_BASE_SECONDS,
+        token_seconds: float = _INITIAL_TOKEN_SECONDS,
     ) -> None:
         self.base = base
         self.token_seconds = token_seconds
         # Relative error that is usual, of predictions of first tokens.
-        self.spread = 0.25
+        self.relative_error = 0.25
         self._weight = 0.0
         self._tokens = 0.0
         self._seconds = 0.0
@@ -78,22 +78,27 @@
     def learn(self, tokens: float, seconds: float) -> None:
         """Take a first token that was seen."""
         expected = self.predict(tokens)
-        seconds = min(max(seconds, expected / _MOST_OFF), expected * _MOST_OFF)
-        self._weight *= _SERVICE_MEMORY
-        self._tokens *= _SERVICE_MEMORY
-        self._seconds *= _SERVICE_MEMORY
-        self._tokens_squared *= _SERVICE_MEMORY
-        self._tokens_seconds *= _SERVICE_MEMORY
+        seconds = min(
+            max(seconds, expected / _MAX_ERROR_RATIO),
+            expected * _MAX_ERROR_RATIO,
+        )
+        self._weight *= _SERVICE_DECAY
+        self._tokens *= _SERVICE_DECAY
+        self._seconds *= _SERVICE_DECAY
+        self._tokens_squared *= _SERVICE_DECAY
+        self._tokens_seconds *= _SERVICE_DECAY
         self._add(tokens, seconds)
         self._fit()
 
     def note_error(self, relative: float) -> None:
         """Take by which part of itself a prediction was off."""
         error = min(abs(relative), 1.0)
-        self.spread += (1.0 - _SERVICE_MEMORY) * (error - self.spread)
+        self.relative_error += (1.0 - _SERVICE_DECAY) * (
+            error - self.relative_error
+        )
 
     def _add(self, tokens: float, seconds: float) -> None:
-        weight = 1.0 / max(self.predict(tokens), _LEAST_SECONDS)
+        weight = 1.0 / max(self.predict(tokens), _MIN_SECONDS)
         self._weight += weight
         self._tokens += weight * tokens
         self._seconds += weight * seconds
@@ -104,14 +109,14 @@
         mean_tokens = self._tokens / self._weight
         mean_seconds = self._seconds / self._weight
         variance = self._tokens_squared / self._weight - mean_tokens**2
-        together = self._tokens_seconds / self._weight
-        together -= mean_tokens * mean_seconds
+        covariance = self._tokens_seconds / self._weight
+        covariance -= mean_tokens * mean_seconds
         if variance <= 1.0:
             return
-        slope = max(together / variance, 0.0)
+        slope = max(covariance / variance, 0.0)
         base = mean_seconds - slope * mean_tokens
-        if base < _LEAST_SECONDS:
-            base = _LEAST_SECONDS
+        if base < _MIN_SECONDS:
+            base = _MIN_SECONDS
             slope = (mean_seconds - base) / max(mean_tokens, 1.0)
         if slope > 0.0:
             self.base, self.token_seconds = base, slope
@@ -130,9 +135,9 @@
         return self._service.token_seconds * self.factor
 
     @property
-    def spread(self) -> float:
+    def relative_error(self) -> float:
         """Relative error that predictions usually have."""
-        return self._service.spread
+        return self._service.relative_error
 
     def predict(self, tokens: float) -> float:
         """Return the seconds to a first token with ``tokens`` to read."""
@@ -153,9 +158,12 @@
         """
         expected = self._service.predict(tokens)
         self._service.note_error(seconds / (expected * self.factor) - 1.0)
-        seen = seconds / expected
-        seen = min(max(seen, self.factor / _MOST_OFF), self.factor * _MOST_OFF)
-        factor = self.factor + (1.0 - _ENGINE_MEMORY) * (seen - self.factor)
-        self.factor = min(max(factor, _LEAST_FACTOR), _MOST_FACTOR)
+        ratio = seconds / expected
+        ratio = min(
+            max(ratio, self.factor / _MAX_ERROR_RATIO),
+            self.factor * _MAX_ERROR_RATIO,
+        )
+        factor = self.factor + (1.0 - _ENGINE_DECAY) * (ratio - self.factor)
+        self.factor = min(max(factor, _MIN_FACTOR), _MAX_FACTOR)
         if was_idle:
             self._service.learn(tokens, seconds)
--- a/packages/daisypick_core/src/daisypick_core/scheduling/recent_holders.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/recent_holders.py
@@ -4,7 +4,7 @@
 every request; this names one that surely had the part a moment ago.
 
 Examples:
-    >>> holders = RecentHolders(most=2)
+    >>> holders = RecentHolders(max_parts=2)
     >>> talk, other = job.Part("talk", 900), job.Part("other", 10)
     >>> holders.note([talk, other], "e-0"); holders.note([talk], "e-1")
     >>> holders.find([talk, other])
@@ -24,11 +24,11 @@
     """Servers by part, the least recently noted part first.
 
     Args:
-        most: Parts that are remembered.
+        max_parts: Parts that are remembered.
     """
 
-    def __init__(self, *, most: int) -> None:
-        self._most = most
+    def __init__(self, *, max_parts: int) -> None:
+        self._max_parts = max_parts
         self._server_by_part: dict[str, str] = {}
 
     def note(self, parts: Iterable[job.Part], server: str) -> None:
@@ -36,7 +36,7 @@
         for part in parts:
             self._server_by_part.pop(part.name, None)
             self._server_by_part[part.name] = server
-        while len(self._server_by_part) > self._most:
+        while len(self._server_by_part) > self._max_parts:
             del self._server_by_part[next(iter(self._server_by_part))]
 
     def find(self, parts: Sequence[job.Part]) -> list[str]:
--- a/packages/daisypick_core/src/daisypick_core/scheduling/recent_keys.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/recent_keys.py
@@ -25,15 +25,15 @@
         self.seconds = seconds
         self._newer: set[str] = set()
         self._older: set[str] = set()
-        self._turn_at = -math.inf
+        self._rotate_at = -math.inf
 
     def add(self, key: str, now: float) -> bool:
         """Note a key; return whether it is new."""
-        if now >= self._turn_at:
-            stale = now >= self._turn_at + self.seconds
+        if now >= self._rotate_at:
+            stale = now >= self._rotate_at + self.seconds
             self._older = set() if stale else self._newer
             self._newer = set()
-            self._turn_at = now + self.seconds
+            self._rotate_at = now + self.seconds
         is_new = key not in self._newer and key not in self._older
         self._newer.add(key)
         return is_new
--- a/packages/daisypick_core/src/daisypick_core/scheduling/scheduler.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/scheduler.py
@@ -23,9 +23,9 @@
 
 from daisypick_core.scheduling import actions
 from daisypick_core.scheduling import admission
-from daisypick_core.scheduling import cold_fleet
+from daisypick_core.scheduling import cold_limits
+from daisypick_core.scheduling import engine_candidates
 from daisypick_core.scheduling import engine_fleet
-from daisypick_core.scheduling import engine_look
 from daisypick_core.scheduling import fair_share
 from daisypick_core.scheduling import fleet_report
 from daisypick_core.scheduling import job
@@ -34,18 +34,18 @@
 from daisypick_core.scheduling import reading_speed
 from daisypick_core.scheduling import recent_keys
 from daisypick_core.scheduling import server_state
-from daisypick_core.scheduling import waiting as waiting_jobs
+from daisypick_core.scheduling import wait_queue
 
 # Part of the objective in which a request may wait for the engine that keeps
 # its prompt while others are open. It may then still start elsewhere.
-_OWNER_WAIT_SHARE = 0.25
+_CACHED_WAIT_SHARE = 0.25
 # Requests of an organisation, and of all, that are looked at when something
 # may start, and the least time from one look to the next, in seconds. A host
 # that looked at every waiting request at each event was busy with nothing
 # else under a flood, and callers waited to their deadlines.
-_LOOKED_AT = 3
-_LOOKED_AT_IN_ALL = 24
-_DISPATCH_SECONDS = 0.008
+_MAX_EXAMINED_PER_ORGANISATION = 3
+_MAX_EXAMINED = 24
+_DISPATCH_INTERVAL_SECONDS = 0.008
 # How long routers need not ask for an organisation of which so many wait:
 # two or three of them start in this time.
 _PAUSE_SECONDS = 0.04
@@ -81,12 +81,12 @@
         self._copy_token_seconds = copy_token_seconds
         self._rng = rng
         self.shares = fair_share.FairShare(window_seconds=window_seconds)
-        self._counted = recent_keys.RecentKeys(seconds=window_seconds)
+        self._counted_keys = recent_keys.RecentKeys(seconds=window_seconds)
         self.tally = organisation_tally.OrganisationTally()
-        self._cold = cold_fleet.ColdFleet(rate=cold_rate)
+        self._cold_limits = cold_limits.ColdLimits(rate=cold_rate)
         self._fleet = engine_fleet.EngineFleet(kv_tokens=kv_tokens, speed=speed)
         self._server_by_key: dict[str, str] = {}
-        self._waiting = waiting_jobs.Waiting()
+        self._waiting = wait_queue.WaitQueue()
         self._admission = admission.Admission(
             waiting=self._waiting,
             shares=self.shares,
@@ -107,7 +107,7 @@
             share: Part of every engine that may be used.
         """
         self._fleet.set_share(share)
-        self._cold.set_routers(routers)
+        self._cold_limits.set_routers(routers)
 
     def set_servers(self, states: Iterable[server_state.ServerState]) -> None:
         """Take all servers that may get work."""
@@ -127,12 +127,12 @@
             return [self._refuse(work, "no backend server takes work")]
         if not self._may_ever_start(work):
             return [self._refuse(work, "all backend servers were tried")]
-        self.shares.ask(work.organisation, work.cost, now)
+        self.shares.add_demand(work.organisation, work.cost, now)
         self.tally.add(work.organisation, submitted=1, asked=work.cost)
-        displaced = self._make_room(work, now)
-        if self._admission.floods(work, now):
+        displaced = self._displace_infeasible(work, now)
+        if self._admission.exceeds_queue_limit(work, now):
             self.tally.add(work.organisation, refused_beyond=1)
-            reason = self._admission.tell_share(work.organisation, now)
+            reason = self._admission.describe_share(work.organisation, now)
             return [self._refuse(work, reason, pause=_PAUSE_SECONDS)]
         if self._admission.is_full():
             return [self._refuse(work, "too many requests wait")]
@@ -141,8 +141,10 @@
         self._admission.add(work)
         return displaced + self.dispatch(now)
 
-    def _make_room(self, work: job.Job, now: float) -> list[actions.Action]:
-        late = self._admission.take_too_late(work, now)
+    def _displace_infeasible(
+        self, work: job.Job, now: float
+    ) -> list[actions.Action]:
+        late = self._admission.displace_infeasible(work, now)
         if late is None:
             return []
         self.tally.add(work.organisation, displaced=1)
@@ -226,7 +228,7 @@
     def tick(self, now: float) -> list[actions.Action]:
         """Refuse what waits too long; start what has become possible."""
         refused: list[actions.Action] = []
-        for work in self._waiting.find_late(now):
+        for work in self._waiting.find_expired(now):
             self._waiting.remove(work)
             self.tally.add(work.organisation, waited_out=1)
             refused.append(self._refuse(work, "no engine has room in time"))
@@ -264,7 +266,7 @@
         for server, key in self._fleet.find_overdue(now):
             self._fleet.end(server, key, now)
             self._server_by_key.pop(key, None)
-        self._cold.expire(now)
+        self._cold_limits.expire(now)
         return self.dispatch(now)
 
     def describe(self, now: float) -> list[dict[str, object]]:
@@ -287,57 +289,65 @@
     def dispatch(self, now: float) -> list[actions.Action]:
         """Start what can start, the least served organisation first."""
         started: list[actions.Action] = []
-        if not self.waiting or now - self._dispatched_at < _DISPATCH_SECONDS:
+        if (
+            not self.waiting
+            or now - self._dispatched_at < _DISPATCH_INTERVAL_SECONDS
+        ):
             return started
         self._dispatched_at = now
-        look = engine_look.EngineLook(fleet=self._fleet, now=now)
-        look.add(self._fleet.find_candidates(self._rng))
-        while look.ahead_by_server:
-            start = self._start_next(look, now)
+        candidates = engine_candidates.EngineCandidates(
+            fleet=self._fleet, now=now
+        )
+        candidates.add(self._fleet.find_candidates(self._rng))
+        while candidates.backlog_by_server:
+            start = self._start_next(candidates, now)
             if start is None:
                 break
             started.append(start)
         return started
 
     def _start_next(
-        self, look: engine_look.EngineLook, now: float
+        self, candidates: engine_candidates.EngineCandidates, now: float
     ) -> actions.Start | None:
         order = sorted(
             self._waiting.find_waiting_organisations(),
-            key=lambda organisation: self.shares.read_begun(organisation, now),
+            key=lambda organisation: self.shares.find_usage(organisation, now),
         )
-        spare = look.is_spare()
-        begin_at = now + look.find_least_wait()
-        looked_at = 0
+        spare = candidates.is_spare()
+        start_at = now + candidates.find_min_wait()
+        examined = 0
         for organisation in order:
             for work in self._waiting.peek(
-                organisation, _LOOKED_AT, begin_at=begin_at
+                organisation, _MAX_EXAMINED_PER_ORGANISATION, start_at=start_at
             ):
                 within = self.shares.is_within(organisation, work.cost, now)
                 if not within and not spare:
                     continue
-                looked_at += 1
-                if looked_at > _LOOKED_AT_IN_ALL:
+                examined += 1
+                if examined > _MAX_EXAMINED:
                     return None
-                place = self._place(work, look, now)
-                if place is not None:
+                chosen = self._place(work, candidates, now)
+                if chosen is not None:
                     self._waiting.remove(work)
-                    return self._start(work, place, look, now)
+                    return self._start(work, chosen, candidates, now)
         return None
 
     def _place(
-        self, work: job.Job, look: engine_look.EngineLook, now: float
+        self,
+        work: job.Job,
+        candidates: engine_candidates.EngineCandidates,
+        now: float,
     ) -> placement.Placement | None:
-        look.add(self._fleet.find_holders(work.parts))
+        candidates.add(self._fleet.find_holders(work.parts))
         return placement.choose(
             work,
-            engine_by_server=look.engine_by_server,
-            ahead_by_server=look.ahead_by_server,
-            busy=look.busy,
+            engine_by_server=candidates.engine_by_server,
+            backlog_by_server=candidates.backlog_by_server,
+            busy=candidates.busy,
             data_centre_by_server=self._fleet.data_centre_by_server,
-            bears=lambda server: self.bears(work.router, server, now),
+            can_handle=lambda server: self.bears(work.router, server, now),
             share=self._fleet.share,
-            may_wait=work.find_waited_share(now) < _OWNER_WAIT_SHARE,
+            may_wait=work.find_waited_share(now) < _CACHED_WAIT_SHARE,
             now=now,
             copy_token_seconds=self._copy_token_seconds,
         )
@@ -347,33 +357,35 @@
         state = self._fleet.state_by_server.get(server)
         if state is None or state.cold_until <= now:
             return True
-        return self._cold.bears(router, server, now)
+        return self._cold_limits.can_handle(router, server, now)
 
     def note_sent(self, router: str, server: str, now: float) -> None:
         """Count a request of a router, in case the server is or turns cold."""
-        self._cold.note_sent(router, server, now)
+        self._cold_limits.note_sent(router, server, now)
 
     def _start(
         self,
         work: job.Job,
-        place: placement.Placement,
-        look: engine_look.EngineLook,
+        chosen: placement.Placement,
+        candidates: engine_candidates.EngineCandidates,
         now: float,
     ) -> actions.Start:
-        server = place.server
+        server = chosen.server
         # All routers are taken to do with their shares as we do with ours.
-        ahead = self._fleet.find(server).unread(now) / self._fleet.share
-        self._record_start(work, server, now, ahead=ahead, saved=place.saved)
+        ahead = (
+            self._fleet.find(server).prefill_backlog(now) / self._fleet.share
+        )
+        self._record_start(work, server, now, ahead=ahead, saved=chosen.saved)
         self.tally.add(work.organisation, started=1, begun=work.cost)
-        look.note_start(server)
+        candidates.note_start(server)
         return actions.Start(
             key=work.key,
             server=server,
-            kept=place.kept,
-            ahead=int(place.ahead),
-            elsewhere=place.elsewhere,
-            source=place.source,
-            copied=place.copied,
+            kept=chosen.cached,
+            ahead=int(chosen.ahead),
+            elsewhere=chosen.max_cached,
+            source=chosen.source,
+            copied=chosen.copied,
         )
 
     def _record_start(
@@ -388,11 +400,11 @@
         if not self._fleet.start(work, server, now, ahead=ahead, saved=saved):
             return
         self._server_by_key[work.key] = server
-        if self._counts(work, now):
+        if self._is_counted(work, now):
             self.note_sent(work.router, server, now)
-            self.shares.begin(work.organisation, work.cost, now)
+            self.shares.add_usage(work.organisation, work.cost, now)
 
-    def _counts(self, work: job.Job, now: float) -> bool:
+    def _is_counted(self, work: job.Job, now: float) -> bool:
         """Tell whether a start counts now, against its share and elsewhere.
 
         A router that connects again tells what it started lately, most of it
@@ -400,8 +412,8 @@
         starts at once, and its organisation gets nothing until they have
         left the window.
         """
-        is_new = self._counted.add(work.key, now)
-        return is_new and now - work.arrived_at < self._counted.seconds
+        is_new = self._counted_keys.add(work.key, now)
+        return is_new and now - work.arrived_at < self._counted_keys.seconds
 
     def _refuse(
         self, work: job.Job, reason: str, *, pause: float = 0.0
--- a/packages/daisypick_core/tests/scheduling/test_engine_look.py
+++ b/packages/daisypick_core/tests/scheduling/test_engine_candidates.py
@@ -1,7 +1,7 @@
 """Open, busy and spare engines during a round of decisions."""
 
+from daisypick_core.scheduling import engine_candidates
 from daisypick_core.scheduling import engine_fleet
-from daisypick_core.scheduling import engine_look
 from daisypick_core.scheduling import job
 from daisypick_core.scheduling import reading_speed
 from daisypick_core.scheduling import server_state
@@ -36,10 +36,10 @@
     fleet.start(work, server, 0.0, ahead=0.0, saved=0.0)
 
 
-def _look(fleet):
-    look = engine_look.EngineLook(fleet=fleet, now=0.0)
-    look.add(fleet.state_by_server)
-    return look
+def _make_candidates(fleet):
+    candidates = engine_candidates.EngineCandidates(fleet=fleet, now=0.0)
+    candidates.add(fleet.state_by_server)
+    return candidates
 
 
 def test_engine_is_open_busy_or_full():
@@ -49,34 +49,34 @@
     )
     _start(fleet, "a", "e-0")
     _start(fleet, "b", "e-1", prompt=20_000)
-    look = _look(fleet)
-    assert look.ahead_by_server == {"e-2": 0.0}
-    assert look.busy == ["e-1"]
-    assert look.find_least_wait() == 0.0
+    candidates = _make_candidates(fleet)
+    assert candidates.backlog_by_server == {"e-2": 0.0}
+    assert candidates.busy == ["e-1"]
+    assert candidates.find_min_wait() == 0.0
 
 
 def test_engine_that_failed_counts_for_nothing():
     fleet = _fleet(2, slots=4)
     for number in range(4):
         _start(fleet, f"a{number}", "e-0")
-    assert _look(fleet).is_spare()
+    assert _make_candidates(fleet).is_spare()
     fleet.outcomes.note_failure("e-1", 0.0, certain=True)
-    look = _look(fleet)
-    assert not look.ahead_by_server
-    assert not look.is_spare()
+    candidates = _make_candidates(fleet)
+    assert not candidates.backlog_by_server
+    assert not candidates.is_spare()
 
 
 def test_look_follows_the_starts_of_its_round():
     fleet = _fleet(2, slots=4)
-    look = _look(fleet)
+    candidates = _make_candidates(fleet)
     for number in range(6):
-        assert look.is_spare()
+        assert candidates.is_spare()
         server = f"e-{number % 2}"
         _start(fleet, f"a{number}", server, prompt=10)
-        look.note_start(server)
-    assert not look.is_spare()
-    assert look.ahead_by_server == {"e-0": 30.0, "e-1": 30.0}
+        candidates.note_start(server)
+    assert not candidates.is_spare()
+    assert candidates.backlog_by_server == {"e-0": 30.0, "e-1": 30.0}
     for number in (6, 7):
         _start(fleet, f"a{number}", f"e-{number % 2}", prompt=10)
-        look.note_start(f"e-{number % 2}")
-    assert not look.ahead_by_server
+        candidates.note_start(f"e-{number % 2}")
+    assert not candidates.backlog_by_server
--- a/packages/daisypick_core/tests/scheduling/test_engine_belief.py
+++ b/packages/daisypick_core/tests/scheduling/test_engine_estimate.py
@@ -3,7 +3,7 @@
 import heapq
 import random
 
-from daisypick_core.scheduling import engine_belief
+from daisypick_core.scheduling import engine_estimate
 from daisypick_core.scheduling import job
 from daisypick_core.scheduling import reading_speed
 
@@ -25,7 +25,7 @@
 def _engine():
     """Make an engine that reads 100,000 tokens a second."""
     service = reading_speed.ServiceSpeed(base=0.01, token_seconds=1e-5)
-    return engine_belief.EngineBelief(
+    return engine_estimate.EngineEstimate(
         slots=4,
         kv_tokens=100_000,
         speed=reading_speed.EngineSpeed(service=service),
@@ -34,12 +34,12 @@
 
 def test_unread_falls_while_the_first_request_is_read():
     engine = _engine()
-    assert engine.unread(0.0) == 0.0
+    assert engine.prefill_backlog(0.0) == 0.0
     engine.start(_job("a", 5000), 0.0, ahead=0.0)
     engine.start(_job("b", 3000), 0.0, ahead=5000.0)
-    assert engine.unread(0.0) == 8000.0
-    assert engine.unread(0.02) == 6000.0
-    assert engine.unread(9.0) == 2000.0
+    assert engine.prefill_backlog(0.0) == 8000.0
+    assert engine.prefill_backlog(0.02) == 6000.0
+    assert engine.prefill_backlog(9.0) == 2000.0
 
 
 def test_engine_that_is_silent_is_not_believed_to_read_on():
@@ -51,8 +51,8 @@
     engine = _engine()
     for number in range(4):
         engine.start(_job(f"a{number}", 5000), 0.0, ahead=5000.0 * number)
-    assert engine.wait(0.04) == 0.16
-    assert round(engine.wait(5.0), 3) == 0.14
+    assert engine.prefill_wait(0.04) == 0.16
+    assert round(engine.prefill_wait(5.0), 3) == 0.14
 
 
 def test_first_token_tells_how_much_of_the_next_prompts_is_read():
@@ -65,7 +65,7 @@
     engine.start(_job("a", 5000), 0.0, ahead=0.0)
     engine.start(_job("b", 3000), 0.0, ahead=5000.0)
     engine.note_first_token("a", 0.06)
-    assert round(engine.unread(0.06)) == 2000
+    assert round(engine.prefill_backlog(0.06)) == 2000
 
 
 def test_unread_counts_no_request_that_was_read_or_has_ended():
@@ -73,13 +73,13 @@
     for key in ("a", "b", "c"):
         engine.start(_job(key, 1000), 0.0, ahead=0.0)
     engine.note_first_token("b", 0.0, learn=False)
-    assert engine.unread(0.0) == 2000.0
+    assert engine.prefill_backlog(0.0) == 2000.0
     engine.end("a", 0.0)
-    assert engine.unread(0.0) == 1000.0
+    assert engine.prefill_backlog(0.0) == 1000.0
     engine.end("b", 0.0)
-    assert engine.unread(0.0) == 1000.0
+    assert engine.prefill_backlog(0.0) == 1000.0
     engine.end("c", 0.0)
-    assert engine.unread(0.0) == 0.0
+    assert engine.prefill_backlog(0.0) == 0.0
     assert engine.running == 0
 
 
@@ -95,7 +95,7 @@
     engine.start(_job("b", 3000), 0.0, ahead=5000.0)
     engine.start(_job("c", 2000), 0.0, ahead=8000.0)
     engine.note_first_token("b", 0.09)
-    assert round(engine.unread(0.09), 6) == 1000.0
+    assert round(engine.prefill_backlog(0.09), 6) == 1000.0
     before = engine.speed.predict(5000.0)
     engine.note_first_token("a", 1.2)
     assert engine.speed.predict(5000.0) == before
@@ -111,10 +111,10 @@
     """
     engine = _engine()
     engine.start(_job("a", 5000), 0.0, ahead=0.0)
-    before = engine.speed.predict(5000.0), engine.speed.spread
+    before = engine.speed.predict(5000.0), engine.speed.relative_error
     engine.note_first_token("a", 1.2, late=True)
-    assert (engine.speed.predict(5000.0), engine.speed.spread) == before
-    assert engine.unread(1.2) == 0.0
+    assert (engine.speed.predict(5000.0), engine.speed.relative_error) == before
+    assert engine.prefill_backlog(1.2) == 0.0
 
 
 def _flood_engine(rng, *, base, rate, requests):
@@ -124,16 +124,16 @@
     the prompts though nobody knows.
     """
     service = reading_speed.ServiceSpeed(base=base, token_seconds=1.0 / rate)
-    engine = engine_belief.EngineBelief(
+    engine = engine_estimate.EngineEstimate(
         slots=64,
         kv_tokens=10**9,
         speed=reading_speed.EngineSpeed(service=service),
     )
-    now = read_until = 0.0
+    now = prefilled_until = 0.0
     first_tokens = []
     for number in range(requests):
-        calm_until = now + (0.4 if number < 100 else 0.0)
-        while engine.wait(now) >= 0.1 or now < calm_until:
+        idle_until = now + (0.4 if number < 100 else 0.0)
+        while engine.prefill_wait(now) >= 0.1 or now < idle_until:
             now += 0.004
             while first_tokens and first_tokens[0][0] <= now:
                 at, key = heapq.heappop(first_tokens)
@@ -141,10 +141,10 @@
                 engine.end(key, at)
         tokens = int(rng.expovariate(1.0 / 3000.0)) + 100
         work = _job(f"a-{number}", tokens)
-        engine.start(work, now, ahead=engine.unread(now))
-        unread = tokens if rng.random() < 0.8 else 100
-        read_until = max(read_until, now) + unread / rate
-        first_at = read_until + base + rng.expovariate(100.0)
+        engine.start(work, now, ahead=engine.prefill_backlog(now))
+        to_prefill = tokens if rng.random() < 0.8 else 100
+        prefilled_until = max(prefilled_until, now) + to_prefill / rate
+        first_at = prefilled_until + base + rng.expovariate(100.0)
         heapq.heappush(first_tokens, (first_at, work.key))
     return service
 
@@ -165,5 +165,5 @@
             random.Random(seed), base=0.06, rate=140_000.0, requests=1500
         )
         for tokens in (500, 3000, 8000):
-            seen = 0.07 + (0.8 * tokens + 20.0) / 140_000.0
-            assert 0.67 < learned.predict(tokens) / seen < 1.5
+            observed = 0.07 + (0.8 * tokens + 20.0) / 140_000.0
+            assert 0.67 < learned.predict(tokens) / observed < 1.5
--- a/packages/daisypick_core/tests/scheduling/test_engine_fleet.py
+++ b/packages/daisypick_core/tests/scheduling/test_engine_fleet.py
@@ -55,7 +55,7 @@
     assert "a" in fleet.find("e-0")
     fleet.end("e-0", "a", 0.1)
     fleet.put(_state("e-0"))
-    assert fleet.find("e-0").cache.count_kept([job.Part("talk", 100)]) == 0
+    assert fleet.find("e-0").cache.count_cached([job.Part("talk", 100)]) == 0
     assert (fleet.slots, fleet.running) == (8, 0)
 
 
--- a/packages/daisypick_core/tests/scheduling/test_fair_share.py
+++ b/packages/daisypick_core/tests/scheduling/test_fair_share.py
@@ -11,8 +11,8 @@
     shares = fair_share.FairShare(window_seconds=4.0)
     shares.set_capacity(tokens_per_second=100.0)
     for number in range(1000):
-        shares.ask(f"o-{number}", 1.0, now=0.01 * number)
-        shares.begin(f"o-{number}", 1.0, now=0.01 * number)
+        shares.add_demand(f"o-{number}", 1.0, now=0.01 * number)
+        shares.add_usage(f"o-{number}", 1.0, now=0.01 * number)
     shares.find_level(10.0)
     assert len(shares) <= 430
     shares.find_level(20.0)
@@ -22,8 +22,8 @@
 def test_what_lies_in_the_window_still_counts():
     shares = fair_share.FairShare(window_seconds=4.0)
     shares.set_capacity(tokens_per_second=100.0)
-    shares.ask("farm", 900.0, now=1.0)
-    shares.begin("farm", 300.0, now=1.0)
+    shares.add_demand("farm", 900.0, now=1.0)
+    shares.add_usage("farm", 300.0, now=1.0)
     assert shares.find_level(4.5) == 400.0
     assert not shares.is_within("farm", 200.0, 4.5)
     assert shares.is_within("farm", 200.0, 20.0)
--- a/packages/daisypick_core/tests/scheduling/test_fleet_sizes.py
+++ b/packages/daisypick_core/tests/scheduling/test_fleet_sizes.py
@@ -24,14 +24,14 @@
 _OUTPUT_TOKENS = 100
 _TOKEN_SECONDS = 1e-5
 _SMALL_ORGANISATIONS = 20
-_COUNTED_ON_SHARE = 0.7
+_STATED_CAPACITY_SHARE = 0.7
 _TICK_SECONDS = 0.01
 # What is counted, after the fleet has filled.
 _SETTLED_SECONDS = 4.0
-_PLAYED_SECONDS = 6.0
+_SIMULATED_SECONDS = 6.0
 
 
-class _Play:
+class _Simulation:
     """A scheduler, its engines and its callers, on a clock of their own."""
 
     def __init__(self, engines):
@@ -49,7 +49,7 @@
         )
         cost = job.find_cost(_PROMPT_TOKENS, _OUTPUT_TOKENS)
         self._scheduler.shares.set_capacity(
-            tokens_per_second=self.rate * cost * _COUNTED_ON_SHARE
+            tokens_per_second=self.rate * cost * _STATED_CAPACITY_SHARE
         )
         self._scheduler.set_servers(
             server_state.ServerState(
@@ -58,10 +58,10 @@
             for number in range(engines)
         )
         self._events = []
-        self._asked = 0
-        self._read_until_by_server = collections.defaultdict(float)
+        self._scheduled = 0
+        self._prefilled_until_by_server = collections.defaultdict(float)
         self._work_by_key = {}
-        self.begun = 0
+        self.started = 0
         self.waits = []
         self.refused = collections.Counter()
 
@@ -69,27 +69,27 @@
         """Play all of it."""
         small = 0.5 * self.rate / _SMALL_ORGANISATIONS
         for number in range(_SMALL_ORGANISATIONS):
-            self._call(0.0, f"small-{number}", small)
-        self._call(0.0, "flood", 1.5 * self.rate)
-        self._add(_TICK_SECONDS, self._tick)
-        while self._events[0][0] < _PLAYED_SECONDS:
-            now, _, do, arguments = heapq.heappop(self._events)
-            do(now, *arguments)
+            self._schedule_request(0.0, f"small-{number}", small)
+        self._schedule_request(0.0, "flood", 1.5 * self.rate)
+        self._schedule(_TICK_SECONDS, self._tick)
+        while self._events[0][0] < _SIMULATED_SECONDS:
+            now, _, callback, arguments = heapq.heappop(self._events)
+            callback(now, *arguments)
         return self
 
-    def _add(self, at, do, *arguments):
-        self._asked += 1
-        heapq.heappush(self._events, (at, self._asked, do, arguments))
+    def _schedule(self, at, callback, *arguments):
+        self._scheduled += 1
+        heapq.heappush(self._events, (at, self._scheduled, callback, arguments))
 
-    def _call(self, now, organisation, rate):
+    def _schedule_request(self, now, organisation, rate):
         """Ask at random moments, ``rate`` times a second."""
-        self._add(
-            now + self._rng.expovariate(rate), self._ask, organisation, rate
+        self._schedule(
+            now + self._rng.expovariate(rate), self._submit, organisation, rate
         )
 
-    def _ask(self, now, organisation, rate):
-        self._call(now, organisation, rate)
-        key = str(self._asked)
+    def _submit(self, now, organisation, rate):
+        self._schedule_request(now, organisation, rate)
+        key = str(self._scheduled)
         work = job.Job(
             key=key,
             router="r-1",
@@ -102,13 +102,13 @@
             deadline_at=now + 8.0,
         )
         self._work_by_key[key] = work
-        self._take(now, self._scheduler.submit(work, now))
+        self._apply(now, self._scheduler.submit(work, now))
 
     def _tick(self, now):
-        self._add(now + _TICK_SECONDS, self._tick)
-        self._take(now, self._scheduler.tick(now))
+        self._schedule(now + _TICK_SECONDS, self._tick)
+        self._apply(now, self._scheduler.tick(now))
 
-    def _take(self, now, decided):
+    def _apply(self, now, decided):
         for action in decided:
             work = self._work_by_key[action.key]
             if isinstance(action, actions.Start):
@@ -118,24 +118,24 @@
 
     def _start(self, now, work, server):
         if now >= _SETTLED_SECONDS:
-            self.begun += 1
+            self.started += 1
             if work.organisation != "flood":
                 self.waits.append(now - work.arrived_at)
-        reads_from = max(now, self._read_until_by_server[server])
-        read_at = reads_from + _PROMPT_TOKENS * _TOKEN_SECONDS
-        self._read_until_by_server[server] = read_at
-        self._add(read_at + 0.01, self._note_first, work.key)
-        self._add(
-            read_at + _RUN_SECONDS * self._rng.uniform(0.1, 1.9),
+        prefill_from = max(now, self._prefilled_until_by_server[server])
+        prefilled_at = prefill_from + _PROMPT_TOKENS * _TOKEN_SECONDS
+        self._prefilled_until_by_server[server] = prefilled_at
+        self._schedule(prefilled_at + 0.01, self._record_first_token, work.key)
+        self._schedule(
+            prefilled_at + _RUN_SECONDS * self._rng.uniform(0.1, 1.9),
             self._end,
             work.key,
         )
 
-    def _note_first(self, now, key):
-        self._take(now, self._scheduler.note_first_token(key, now))
+    def _record_first_token(self, now, key):
+        self._apply(now, self._scheduler.note_first_token(key, now))
 
     def _end(self, now, key):
-        self._take(now, self._scheduler.note_end(key, now))
+        self._apply(now, self._scheduler.note_end(key, now))
 
 
 @pytest.mark.parametrize("engines", [4, 37, 300])
@@ -145,9 +145,9 @@
     Engines do most of what they can, and organisations within their shares
     do not notice the flood.
     """
-    play = _Play(engines).run()
-    possible = play.rate * (_PLAYED_SECONDS - _SETTLED_SECONDS)
-    waits = sorted(play.waits)
-    assert play.begun >= 0.7 * possible
+    simulation = _Simulation(engines).run()
+    possible = simulation.rate * (_SIMULATED_SECONDS - _SETTLED_SECONDS)
+    waits = sorted(simulation.waits)
+    assert simulation.started >= 0.7 * possible
     assert waits[int(0.99 * len(waits))] < 0.05
-    assert not [name for name in play.refused if name != "flood"]
+    assert not [name for name in simulation.refused if name != "flood"]
--- a/packages/daisypick_core/tests/scheduling/test_many_engines.py
+++ b/packages/daisypick_core/tests/scheduling/test_many_engines.py
@@ -5,7 +5,7 @@
 import pytest
 
 from daisypick_core.scheduling import actions
-from daisypick_core.scheduling import engine_belief
+from daisypick_core.scheduling import engine_estimate
 from daisypick_core.scheduling import job
 from daisypick_core.scheduling import reading_speed
 from daisypick_core.scheduling import scheduler as schedulers
@@ -60,22 +60,22 @@
     With its first token and its end a request took 0.74 ms of processor before
     37 engines, 1.8 ms before 75, 5.2 ms before 300; now 0.41, 0.30, 0.33 ms.
     """
-    looks = 0
-    wait = engine_belief.EngineBelief.wait
+    calls = 0
+    wait = engine_estimate.EngineEstimate.prefill_wait
 
     def _count(engine, now):
-        nonlocal looks
-        looks += 1
+        nonlocal calls
+        calls += 1
         return wait(engine, now)
 
-    monkeypatch.setattr(engine_belief.EngineBelief, "wait", _count)
+    monkeypatch.setattr(engine_estimate.EngineEstimate, "prefill_wait", _count)
     scheduler = _make(engines)
     for number in range(100):
         now = 0.01 * number
         scheduler.submit(_job(f"a{number}", TALK, now=now), now)
         scheduler.note_first_token(f"a{number}", now + 0.005)
         scheduler.note_end(f"a{number}", now + 0.009)
-    assert looks <= 100 * 60
+    assert calls <= 100 * 60
 
 
 def test_request_finds_its_prompt_among_many_engines():
--- a/packages/daisypick_core/tests/scheduling/test_placement.py
+++ b/packages/daisypick_core/tests/scheduling/test_placement.py
@@ -1,6 +1,6 @@
 """Which open engine a request goes to."""
 
-from daisypick_core.scheduling import engine_belief
+from daisypick_core.scheduling import engine_estimate
 from daisypick_core.scheduling import job
 from daisypick_core.scheduling import placement
 from daisypick_core.scheduling import reading_speed
@@ -27,7 +27,7 @@
 def _engines(*names):
     service = reading_speed.ServiceSpeed(base=0.01, token_seconds=1e-5)
     return {
-        name: engine_belief.EngineBelief(
+        name: engine_estimate.EngineEstimate(
             slots=64,
             kv_tokens=400_000,
             speed=reading_speed.EngineSpeed(service=service),
@@ -37,19 +37,25 @@
 
 
 def _choose(
-    work, engines, *, busy=(), may_wait=True, places=None, copy_seconds=0.0
+    work,
+    engines,
+    *,
+    busy=(),
+    may_wait=True,
+    data_centres=None,
+    copy_seconds=0.0,
 ):
     return placement.choose(
         work,
         engine_by_server=engines,
-        ahead_by_server={
-            name: engine.unread(0.0)
+        backlog_by_server={
+            name: engine.prefill_backlog(0.0)
             for name, engine in engines.items()
             if name not in busy
         },
         busy=busy,
-        data_centre_by_server=places or dict.fromkeys(engines, "a"),
-        bears=lambda server: True,
+        data_centre_by_server=data_centres or dict.fromkeys(engines, "a"),
+        can_handle=lambda server: True,
         share=1.0,
         may_wait=may_wait,
         now=0.0,
@@ -90,19 +96,19 @@
 
 def test_near_engine_goes_before_an_equal_one_elsewhere():
     engines = _engines("e-0", "e-1")
-    places = {"e-0": "b", "e-1": "a"}
+    data_centres = {"e-0": "b", "e-1": "a"}
     work = _job("x", prompt=400)
-    assert _choose(work, engines, places=places).server == "e-1"
+    assert _choose(work, engines, data_centres=data_centres).server == "e-1"
     work = work._replace(data_centre="b")
-    assert _choose(work, engines, places=places).server == "e-0"
+    assert _choose(work, engines, data_centres=data_centres).server == "e-0"
 
 
 def test_engine_elsewhere_that_keeps_the_prompt_goes_before_a_near_one():
     engines = _engines("e-0", "e-1")
     engines["e-0"].cache.begin([TALK])
     work = _job("x", TALK, prompt=5000)
-    places = {"e-0": "b", "e-1": "a"}
-    assert _choose(work, engines, places=places).server == "e-0"
+    data_centres = {"e-0": "b", "e-1": "a"}
+    assert _choose(work, engines, data_centres=data_centres).server == "e-0"
 
 
 def test_request_goes_only_where_its_first_token_comes_in_time():
@@ -134,7 +140,7 @@
 
 def _read(engine, *parts):
     engine.cache.begin(parts)
-    engine.cache.note_read(parts)
+    engine.cache.mark_prefilled(parts)
     engine.cache.end(parts)
 
 
@@ -147,9 +153,9 @@
     engines = _engines("e-0", "e-1")
     _read(engines["e-1"], TALK)
     work = _job("x", TALK, job.Part(name="x", tokens=500), prompt=5500)
-    place = _choose(work, engines, busy=["e-1"], copy_seconds=1e-6)
-    assert (place.server, place.source, place.copied) == ("e-0", "e-1", 5000)
-    assert round(place.saved) == 4500
+    chosen = _choose(work, engines, busy=["e-1"], copy_seconds=1e-6)
+    assert (chosen.server, chosen.source, chosen.copied) == ("e-0", "e-1", 5000)
+    assert round(chosen.saved) == 4500
 
 
 def test_prompt_that_is_still_being_read_is_not_copied():
@@ -157,20 +163,20 @@
     engines = _engines("e-0", "e-1")
     engines["e-1"].cache.begin([TALK])
     work = _job("x", TALK, job.Part(name="x", tokens=500), prompt=5500)
-    place = _choose(
+    chosen = _choose(
         work, engines, busy=["e-1"], may_wait=False, copy_seconds=1e-6
     )
-    assert (place.server, place.source, place.copied) == ("e-0", "", 0)
+    assert (chosen.server, chosen.source, chosen.copied) == ("e-0", "", 0)
 
 
 def test_nothing_is_copied_over_a_link_slower_than_reading():
     engines = _engines("e-0", "e-1")
     _read(engines["e-1"], TALK)
     work = _job("x", TALK, prompt=5000)
-    place = _choose(
+    chosen = _choose(
         work, engines, busy=["e-1"], may_wait=False, copy_seconds=2e-5
     )
-    assert (place.source, place.copied) == ("", 0)
+    assert (chosen.source, chosen.copied) == ("", 0)
 
 
 def test_copy_comes_from_the_engine_with_the_least_to_do():
@@ -179,5 +185,5 @@
         _read(engines[name], TALK)
     engines["e-1"].start(_job("before", prompt=400), 0.0, ahead=0.0)
     work = _job("x", TALK, prompt=5000)
-    place = _choose(work, engines, busy=["e-1", "e-2"], copy_seconds=1e-6)
-    assert place.source == "e-2"
+    chosen = _choose(work, engines, busy=["e-1", "e-2"], copy_seconds=1e-6)
+    assert chosen.source == "e-2"
--- a/packages/daisypick_core/tests/scheduling/test_prefix_cache.py
+++ b/packages/daisypick_core/tests/scheduling/test_prefix_cache.py
@@ -10,19 +10,19 @@
 def test_part_counts_as_read_only_when_it_was_read():
     cache = prefix_cache.PrefixCache(capacity=1000)
     cache.begin([SYSTEM, TALK])
-    assert cache.count_kept([SYSTEM, TALK]) == 700
-    assert cache.count_read([SYSTEM, TALK]) == 0
-    cache.note_read([SYSTEM, TALK])
-    assert cache.count_read([SYSTEM, TALK]) == 700
+    assert cache.count_cached([SYSTEM, TALK]) == 700
+    assert cache.count_prefilled([SYSTEM, TALK]) == 0
+    cache.mark_prefilled([SYSTEM, TALK])
+    assert cache.count_prefilled([SYSTEM, TALK]) == 700
 
 
 def test_dropped_part_is_not_read_any_more():
     cache = prefix_cache.PrefixCache(capacity=1000)
     for parts in ([SYSTEM], [job.Part(name="long", tokens=900)]):
         cache.begin(parts)
-        cache.note_read(parts)
+        cache.mark_prefilled(parts)
         cache.end(parts)
-    assert cache.count_read([SYSTEM]) == 0
+    assert cache.count_prefilled([SYSTEM]) == 0
 
 
 def test_prompt_that_was_given_up_unread_is_not_believed_to_be_kept():
@@ -34,8 +34,8 @@
     """
     cache = prefix_cache.PrefixCache(capacity=1000)
     cache.begin([SYSTEM])
-    cache.note_read([SYSTEM])
+    cache.mark_prefilled([SYSTEM])
     cache.begin([SYSTEM, TALK])
     cache.end([SYSTEM, TALK])
-    cache.forget_unread([SYSTEM, TALK])
-    assert cache.count_kept([SYSTEM, TALK]) == 300
+    cache.drop_unprefilled([SYSTEM, TALK])
+    assert cache.count_cached([SYSTEM, TALK]) == 300
--- a/packages/daisypick_core/tests/scheduling/test_reading_speed.py
+++ b/packages/daisypick_core/tests/scheduling/test_reading_speed.py
@@ -5,14 +5,14 @@
 from daisypick_core.scheduling import reading_speed
 
 
-def _teach(speed, rng, *, base, rate, count, noise=0.1):
+def _train(speed, rng, *, base, rate, count, noise=0.1):
     for _ in range(count):
         tokens = rng.choice((400, 1800, 2900, 9000))
         seconds = base + tokens / rate
         speed.learn(tokens, seconds * rng.uniform(1.0 - noise, 1.0 + noise))
 
 
-def _off(speed, *, base, rate):
+def _find_max_error(speed, *, base, rate):
     """Return the largest relative error of predictions."""
     return max(
         abs(speed.predict(tokens) / (base + tokens / rate) - 1.0)
@@ -30,16 +30,16 @@
     for rate in (5_000.0, 40_000.0, 300_000.0):
         for base in (0.005, 0.06):
             speed = reading_speed.ServiceSpeed()
-            _teach(speed, rng, base=base, rate=rate, count=200)
-            assert _off(speed, base=base, rate=rate) < 0.15
+            _train(speed, rng, base=base, rate=rate, count=200)
+            assert _find_max_error(speed, base=base, rate=rate) < 0.15
 
 
 def test_change_of_speed_is_learned_again():
     rng = random.Random(8)
     speed = reading_speed.ServiceSpeed()
-    _teach(speed, rng, base=0.01, rate=100_000.0, count=300)
-    _teach(speed, rng, base=0.01, rate=25_000.0, count=300)
-    assert _off(speed, base=0.01, rate=25_000.0) < 0.2
+    _train(speed, rng, base=0.01, rate=100_000.0, count=300)
+    _train(speed, rng, base=0.01, rate=25_000.0, count=300)
+    assert _find_max_error(speed, base=0.01, rate=25_000.0) < 0.2
 
 
 def test_lost_and_late_first_tokens_do_not_tilt_the_line():
@@ -51,9 +51,9 @@
     rng = random.Random(9)
     speed = reading_speed.ServiceSpeed()
     for _ in range(60):
-        _teach(speed, rng, base=0.05, rate=100_000.0, count=9)
+        _train(speed, rng, base=0.05, rate=100_000.0, count=9)
         speed.learn(rng.choice((400, 9000)), rng.uniform(1.0, 4.0))
-    assert _off(speed, base=0.05, rate=100_000.0) < 0.3
+    assert _find_max_error(speed, base=0.05, rate=100_000.0) < 0.3
 
 
 def test_engine_that_turns_slow_is_known_after_a_few_first_tokens():
@@ -63,7 +63,7 @@
         reading_speed.EngineSpeed(service=service) for _ in range(6)
     )
     for _ in range(15):
-        _teach(slow, rng, base=0.05, rate=20_000.0, count=1)
+        _train(slow, rng, base=0.05, rate=20_000.0, count=1)
         for engine in sound:
-            _teach(engine, rng, base=0.01, rate=100_000.0, count=1)
+            _train(engine, rng, base=0.01, rate=100_000.0, count=1)
     assert slow.predict(5000) > 2.5 * sound[0].predict(5000)
--- a/packages/daisypick_core/tests/scheduling/test_scheduler.py
+++ b/packages/daisypick_core/tests/scheduling/test_scheduler.py
@@ -34,7 +34,7 @@
 
 
 def _job(key, *, organisation="farm", prompt=1000, parts=None, now=0.0, **more):
-    words = {
+    fields = {
         "router": "r-1",
         "output_tokens": 100,
         "arrived_at": now,
@@ -47,7 +47,7 @@
         organisation=organisation,
         parts=parts or (job.Part(name=key, tokens=prompt),),
         prompt_tokens=prompt,
-        **words,
+        **fields,
     )
 
 
@@ -99,7 +99,7 @@
     assert start.key == "farm-0"
 
 
-def _flood(scheduler, count, now, first=0):
+def _submit_overload(scheduler, count, now, first=0):
     return [
         action
         for n in range(first, first + count)
@@ -119,9 +119,9 @@
     """
     scheduler = _make(servers=1, slots=4)
     scheduler.shares.set_capacity(tokens_per_second=1000.0)
-    assert len(_servers(_flood(scheduler, 3, 0.0))) == 3
-    assert _flood(scheduler, 32, 0.2, first=3) == []
-    (refused,) = _flood(scheduler, 1, 0.2, first=99)
+    assert len(_servers(_submit_overload(scheduler, 3, 0.0))) == 3
+    assert _submit_overload(scheduler, 32, 0.2, first=3) == []
+    (refused,) = _submit_overload(scheduler, 1, 0.2, first=99)
     assert isinstance(refused, actions.Refuse)
     assert refused.retry_after > 0.0
     assert refused.pause > 0.0
@@ -160,7 +160,7 @@
     scheduler.shares.set_capacity(tokens_per_second=10.0)
     for n in range(3):
         scheduler.submit(_job(f"much-{n}", organisation="much"), 0.0)
-    scheduler.shares.begin("little", 500.0, 0.0)
+    scheduler.shares.add_usage("little", 500.0, 0.0)
     for n in range(3, 5):
         scheduler.submit(_job(f"much-{n}", organisation="much"), 0.0)
         scheduler.submit(_job(f"little-{n}", organisation="little"), 0.0)
@@ -217,7 +217,7 @@
     scheduler.shares.set_capacity(tokens_per_second=100.0)
     long = _job("long", organisation="flood", prompt=60_000)
     assert _keys(scheduler.submit(long, 0.0)) == ["long"]
-    _flood(scheduler, 40, now=0.0)
+    _submit_overload(scheduler, 40, now=0.0)
     waiting = scheduler.waiting
     fresh = _job("fresh", organisation="flood", now=0.15, objective_at=1.0)
     refused = _refused(scheduler.submit(fresh, 0.15))
@@ -337,22 +337,22 @@
     left to say anything: its callers wait to their deadlines. The looks stay
     proportional to time, not to the flood.
     """
-    looks = 0
-    count_kept = prefix_cache.PrefixCache.count_kept
+    calls = 0
+    count_cached = prefix_cache.PrefixCache.count_cached
 
     def _count(cache, parts):
-        nonlocal looks
-        looks += 1
-        return count_kept(cache, parts)
+        nonlocal calls
+        calls += 1
+        return count_cached(cache, parts)
 
-    monkeypatch.setattr(prefix_cache.PrefixCache, "count_kept", _count)
+    monkeypatch.setattr(prefix_cache.PrefixCache, "count_cached", _count)
     scheduler = _make(servers=4, slots=2)
     for n in range(2000):
         now = 0.0005 * n
         scheduler.submit(_job(f"a{n}", organisation=f"o{n % 30}", now=now), now)
         if n % 20 == 0:
             scheduler.tick(now)
-    assert looks < 60_000
+    assert calls < 60_000
 
 
 def test_spare_capacity_does_not_go_to_the_same_few():
@@ -424,15 +424,15 @@
         scheduler.submit(work, 0.0)
         scheduler.note_first_token(work.key, 0.05)
         scheduler.note_end(work.key, 0.06)
-    begun = scheduler.shares.read_begun("flood", 0.5)
+    begun = scheduler.shares.find_usage("flood", 0.5)
     assert begun == 20 * 1200.0
     for work in started:
         scheduler.note_started_elsewhere(work, "e-0", 0.5)
         scheduler.note_end(work.key, 0.5)
-    assert scheduler.shares.read_begun("flood", 0.5) == begun
+    assert scheduler.shares.find_usage("flood", 0.5) == begun
     unknown = _job("other-0", organisation="flood", now=0.4)
     scheduler.note_started_elsewhere(unknown, "e-0", 0.5)
-    assert scheduler.shares.read_begun("flood", 0.5) == begun + 1200.0
+    assert scheduler.shares.find_usage("flood", 0.5) == begun + 1200.0
     long_ago = _job("other-1", organisation="flood", now=-9.0)
     scheduler.note_started_elsewhere(long_ago, "e-0", 0.5)
-    assert scheduler.shares.read_begun("flood", 0.5) == begun + 1200.0
+    assert scheduler.shares.find_usage("flood", 0.5) == begun + 1200.0
