--- a/packages/daisypick_core/src/daisypick_core/scheduling/cold_limits.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/cold_limits.py
@@ -1,10 +1,10 @@
-"""What the routers of a fleet have sent to each server, if it turns cold.
+"""Rate limits of all routers of a fleet at servers that may turn cold.
 
-A scheduler keeps a limit for every router that asks it, since each has its own
-part of what a cold server bears.
+A scheduler keeps a limit for every router that it decides for, since each
+router has its own quota of the rate that a cold server can handle.
 
 See Also:
-    daisypick_core.serving.cold_parts: the parts of the routers.
+    daisypick_core.serving.cold_parts: the quotas of the routers.
 """
 
 from collections.abc import Iterable
@@ -17,7 +17,8 @@
     """Limits by router.
 
     Args:
-        rate: Requests a second that a cold server bears; zero if any.
+        rate: Requests per second that a cold server can handle; zero if
+            there is no limit.
     """
 
     def __init__(self, *, rate: float) -> None:
@@ -26,17 +27,17 @@
         self._limit_by_router: dict[str, cold_limit.ColdLimit] = {}
 
     def set_routers(self, routers: Iterable[str]) -> None:
-        """Take the names of all routers; none if they are not known."""
+        """Set the names of all routers; none if they are not known."""
         self._quotas.set_routers(routers)
 
     def can_handle(self, router: str, server: str, now: float) -> bool:
-        """Tell whether a cold server bears one more request of a router."""
+        """Return whether a cold server can handle one more of a router."""
         if not self._rate:
             return True
         return self._find_limit(router).allows(server, self._rate, now)
 
     def note_sent(self, router: str, server: str, now: float) -> None:
-        """Count a request of a router, in case the server is or turns cold."""
+        """Record a request of a router, in case the server is or turns cold."""
         self._find_limit(router).note(server, now)
 
     def _find_limit(self, router: str) -> cold_limit.ColdLimit:
@@ -47,7 +48,7 @@
         return limit
 
     def expire(self, now: float) -> None:
-        """Forget what was sent too long ago to count."""
+        """Drop what was sent before the window of the limits."""
         for router, limit in list(self._limit_by_router.items()):
             limit.expire(now)
             if not len(limit):
--- a/packages/daisypick_core/src/daisypick_core/scheduling/engine_candidates.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/engine_candidates.py
@@ -1,11 +1,11 @@
-"""The engines that one round of decisions looks at.
+"""The engines that one scheduling round considers.
 
-What an engine has to read is worked out once a round and then follows the
-starts of the round. How many engines a round looks at is bounded, see
-``EngineFleet.find_candidates``; so is the time of a decision.
+The prefill backlog of an engine is computed once per round and updated with
+the starts of the round. The number of engines considered in a round is
+bounded, see ``EngineFleet.find_candidates``, and so is the time of a decision.
 
 See Also:
-    placement: chooses among the engines that are open here.
+    placement: chooses among the engines that are available here.
 """
 
 from collections.abc import Iterable
@@ -14,24 +14,25 @@
 from daisypick_core.scheduling import engine_fleet
 from daisypick_core.scheduling import placement
 
-# What is beyond an organisation's share starts only while a quarter of all
-# slots is free and engines have no more than eight tenths to read of what
-# they may have; so what is within finds room at once. An engine counts with
-# no more than that: one long prompt does not make a calm fleet busy.
+# Requests over their organisation's share start only while a quarter of all
+# slots is free and the mean prefill backlog is below eight tenths of its limit,
+# so that requests within their share find room at once. The backlog of an
+# engine counts only up to its limit, so that one long prompt does not make a
+# lightly loaded fleet count as busy.
 _SPARE_SLOT_SHARE = 0.75
 _SPARE_BACKLOG_SHARE = 0.8
 
 
 class EngineCandidates:
-    """Open and busy engines at one moment.
+    """Available and busy engines at one moment.
 
-    An engine is open while it has a free slot, little to read and has not
-    just failed.
+    An engine is available while it has a free slot, a prefill backlog below
+    the limit and is not ejected after failures.
 
     Attributes:
-        engine_by_server: What is believed of the engines looked at.
-        backlog_by_server: Unread tokens of those that are open.
-        busy: Those that are closed only for what they have to read.
+        engine_by_server: Estimates of the engines considered.
+        backlog_by_server: Prefill backlog in tokens of the available engines.
+        busy: Engines that only their prefill backlog makes unavailable.
     """
 
     def __init__(self, *, fleet: engine_fleet.EngineFleet, now: float) -> None:
@@ -54,7 +55,7 @@
         self.busy: list[str] = []
 
     def add(self, servers: Iterable[str]) -> None:
-        """Look at more engines."""
+        """Add engines to those considered."""
         for server in servers:
             if server not in self.engine_by_server and server in self._fleet:
                 self._add(server)
@@ -74,7 +75,7 @@
             self.busy.append(server)
 
     def note_start(self, server: str) -> None:
-        """A request was started at an open engine."""
+        """Record that a request was started at an available engine."""
         engine = self._fleet.find(server)
         self.engine_by_server[server] = engine
         self._running += 1
@@ -86,13 +87,13 @@
             del self.backlog_by_server[server]
 
     def find_min_wait(self) -> float:
-        """Return the least seconds of reading ahead at an open engine."""
+        """Return the fewest seconds of prefill at an available engine."""
         return min(
             self._wait_by_server[name] for name in self.backlog_by_server
         )
 
     def is_spare(self) -> bool:
-        """Tell whether there is capacity that nobody else wants."""
+        """Return whether there is spare capacity for requests over a share."""
         waits = self._wait_by_server.values()
         wait = sum(min(wait, self._max_wait) for wait in waits)
         return (
--- a/packages/daisypick_core/src/daisypick_core/scheduling/engine_estimate.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/engine_estimate.py
@@ -1,10 +1,10 @@
-"""What a model engine is believed to be doing.
+"""Estimated load, memory and speed of a model engine.
 
-An engine reads prompts one after the other, a chunk at a time between the
-tokens of running requests, so the first token of a new request waits for all
-prompt tokens ahead of it. The belief is made of what was sent there and of
-the first tokens and ends that came back; the engine's own reports are older
-than that.
+An engine prefills prompts one after the other, in chunks between the decode
+steps of running requests, so the first token of a new request waits for the
+prefill of all prompt tokens ahead of it. The estimate is made from the
+requests sent to the engine and from their first tokens and ends; the engine's
+own reports are older than these.
 """
 
 import itertools
@@ -13,13 +13,13 @@
 from daisypick_core.scheduling import prefix_cache
 from daisypick_core.scheduling import reading_speed
 
-# Part of the memory that is given to running requests. Outputs are longer
-# than expected about half of the time, and an engine that runs out throws a
-# running request out of its memory and reads it from the start.
+# Share of the KV cache that is given to running requests. Outputs are longer
+# than expected about half of the time, and an engine that runs out of memory
+# preempts a running request and prefills it again from the start.
 _MEMORY_SHARE = 0.9
 
-# A router tells of an end within a few milliseconds; what is not told after
-# this time past the caller's deadline never will be.
+# A router reports an end within a few milliseconds; an end that is not
+# reported this long after the caller's deadline never will be.
 _OVERDUE_SECONDS = 1.0
 
 
@@ -28,12 +28,12 @@
 
     Attributes:
         job: The request.
-        unread: Prompt tokens of its own to read.
-        tokens: The same and those ahead of it; ``None`` if these are not
-            known.
+        own_tokens: Prompt tokens of its own to prefill.
+        total_tokens: The same plus those ahead of it; ``None`` if these are
+            not known.
         started_at: When it was sent.
         first_at: When its first token is expected.
-        was_idle: Whether the first tokens of all before had come.
+        was_idle: Whether all earlier requests had their first token.
     """
 
     __slots__ = (
@@ -66,10 +66,10 @@
 class EngineEstimate:
     """Requests, memory and speed of one engine.
 
-    Prompts are read in the order of their starts. A first token tells that
-    its prompt was read a base time before, and so how much of the next ones
-    is read. While the first token of the oldest prompt is overdue nothing
-    counts as read, so an engine that has stopped gets no more.
+    Prompts are prefilled in the order of their starts. A first token implies
+    that its prefill ended a base time earlier, and so how far the next
+    prefill has come. While the first token of the oldest prompt is overdue
+    the backlog does not shrink, so an engine that has stopped gets no more.
     """
 
     def __init__(
@@ -84,31 +84,32 @@
         self.speed = speed
         self.cache = prefix_cache.PrefixCache(capacity=kv_tokens)
         self._run_by_key: dict[str, _Run] = {}
-        # Requests without a first token in the order of their start, and
-        # the sum of what they have to read: a host asks for it for every
-        # engine at every start, and a sum over all requests of all engines
-        # kept a small VM from answering in time.
+        # Requests without a first token in the order of their start, and the
+        # sum of their prefill tokens. The sum is kept up to date because a
+        # host needs it for every engine at every start; computed anew over
+        # all requests of all engines, it kept a small VM from responding in
+        # time.
         self._prefilling_by_key: dict[str, _Run] = {}
         self._prefill_tokens = 0
-        # What was still to read at a moment in the past.
+        # Prefill backlog in tokens at an earlier time.
         self._backlog = 0.0
         self._backlog_at = 0.0
 
     @property
     def running(self) -> int:
-        """Requests at the engine."""
+        """Number of requests at the engine."""
         return len(self._run_by_key)
 
     def __contains__(self, key: str) -> bool:
-        """Tell whether a request is at the engine."""
+        """Return whether a request is at the engine."""
         return key in self._run_by_key
 
     def has_slot(self, share: float) -> bool:
-        """Tell whether a part of the slots has room for one more request."""
+        """Return whether a share of the slots has one free."""
         return self.running < max(self.slots * share, 1.0)
 
     def prefill_backlog(self, now: float) -> float:
-        """Return the prompt tokens that are still to be read."""
+        """Return the prompt tokens that still wait for their prefill."""
         if not self._prefilling_by_key:
             return 0.0
         head = next(iter(self._prefilling_by_key.values()))
@@ -116,11 +117,11 @@
         return max(self._backlog - elapsed / self.speed.token_seconds, 0.0)
 
     def prefill_wait(self, now: float) -> float:
-        """Return the seconds of reading that are ahead of a new request."""
+        """Return the seconds of prefill that are ahead of a new request."""
         return self.prefill_backlog(now) * self.speed.token_seconds
 
     def has_memory(self, work: job.Job, share: float = 1.0) -> bool:
-        """Tell whether a request's tokens fit beside the running ones."""
+        """Return whether a request's tokens fit beside the running ones."""
         wanted = self.cache.count_unpinned(work.parts) + work.output_tokens
         room = self.kv_tokens * _MEMORY_SHARE * share - self.cache.pinned
         return wanted <= room or not self._run_by_key
@@ -133,15 +134,15 @@
         ahead: float | None,
         saved: float = 0.0,
     ) -> None:
-        """A request is sent to the engine.
+        """Record that a request is sent to the engine.
 
         Args:
             work: The request.
             now: The time.
-            ahead: Prompt tokens that the engine reads before; ``None`` if the
-                request was sent some time ago, so that its first token will
-                tell nothing of the engine's speed.
-            saved: Prompt tokens worth of reading that copying spares it.
+            ahead: Prompt tokens that the engine prefills before; ``None`` if
+                the request was sent some time ago, so that its first token
+                gives no measure of the engine's speed.
+            saved: Prefill work in prompt tokens that copying KV cache saves.
         """
         cached = self.cache.count_cached(work.parts)
         own_tokens = max(work.prompt_tokens - cached - int(saved), 0)
@@ -164,17 +165,17 @@
     def note_first_token(
         self, key: str, now: float, *, learn: bool = True, late: bool = False
     ) -> None:
-        """A request's first token came back.
+        """Record the first token of a request.
 
         Args:
             key: The request.
             now: The time.
-            learn: Whether it came just now. Then all that started before it
-                was read too: a router whose loop is late reports first tokens
-                late, and without the word of the next ones the engine would
-                seem to stand still until then, and get nothing.
-            late: Whether whoever saw it may have seen it late, so that it
-                does not tell how long the engine took.
+            learn: Whether it came just now. Then all requests that started
+                before it count as prefilled too: a router whose event loop
+                lags reports first tokens late, and until then the engine
+                would seem stalled and get no work.
+            late: Whether it may have been observed late, so that its time
+                does not measure the engine.
         """
         if key not in self._prefilling_by_key:
             return
@@ -198,7 +199,7 @@
             )
 
     def _find_started_before(self, key: str) -> list[str]:
-        """Return the keys of what is read before a request."""
+        """Return the keys of requests that are prefilled before one."""
         earlier = itertools.takewhile(
             lambda other: other != key, self._prefilling_by_key
         )
@@ -220,7 +221,7 @@
         return run
 
     def end(self, key: str, now: float) -> None:
-        """A request ended, well or not."""
+        """Record that a request ended, whether it succeeded or failed."""
         run = self._run_by_key.pop(key, None)
         if run is None:
             return
@@ -239,7 +240,7 @@
         ]
 
     def find_overdue(self, now: float) -> list[str]:
-        """Return the keys of requests whose callers have given up."""
+        """Return the keys of requests that are past their deadline."""
         return [
             key
             for key, run in self._run_by_key.items()
--- a/packages/daisypick_core/src/daisypick_core/scheduling/engine_fleet.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/engine_fleet.py
@@ -1,14 +1,14 @@
-"""The engines of a service that may get work, and what is believed of them.
+"""The engines of a service that may get work, and their estimated state.
 
-Servers are taken and dropped one at a time, so a change costs the same before
-ten engines and before three thousand. A belief is made with the first request
-at an engine; until then it counts as an idle one. An engine that drains keeps
-its belief until its requests have ended.
+Servers are added and removed one at a time, so a change costs the same with
+ten engines as with three thousand. The estimate of an engine is created with
+its first request; until then the engine counts as idle. A draining engine
+keeps its estimate until its requests have ended.
 
-A decision looks at all engines of a small fleet. Of a larger one it looks at
-a random sample of those with a free slot, and at those that last had the
-parts of the prompt: the best of some dozens is hardly worse than the best of
-all, and the decision takes no longer.
+A decision examines all engines of a small fleet. Of a larger one it examines
+a random sample of those with a free slot, and those that last had the parts
+of the prompt: the best of some dozens is hardly worse than the best of all,
+and the time of a decision stays bounded.
 
 Examples:
     >>> from daisypick_core.scheduling import reading_speed, server_state
@@ -34,11 +34,11 @@
 from daisypick_core.scheduling import server_state
 from daisypick_core.serving import outcomes
 
-# Engines of a fleet of which a decision looks at all.
+# Largest fleet of which a decision examines all engines.
 _MAX_SCANNED = 48
-# Engines of a larger fleet that it looks at, besides those that had its prompt.
+# Engines of a larger fleet that it examines, besides those that had the prompt.
 _SAMPLE_SIZE = 24
-# Parts whose last engine is remembered; some minutes' worth of a busy host.
+# Prompt parts whose last engine is remembered: some minutes at a busy host.
 _MAX_PARTS = 20_000
 
 
@@ -46,12 +46,12 @@
     """Engines by server.
 
     Args:
-        kv_tokens: KV cache of one engine.
-        speed: What is known of the service's engines.
+        kv_tokens: KV cache of one engine, in tokens.
+        speed: Latency model of the service's engines.
 
     Attributes:
         state_by_server: The servers that may get work.
-        data_centre_by_server: Where they are.
+        data_centre_by_server: Their data centres.
         outcomes: Failures in a row, by server.
         slots: Slots of the servers that may get work.
         running: Requests at them.
@@ -74,8 +74,8 @@
         self._with_free_slot: indexed_set.IndexedSet[str] = (
             indexed_set.IndexedSet()
         )
-        # Stands for every engine that had no request yet; nothing is ever
-        # started at it.
+        # Shared estimate of all engines without a request so far; nothing is
+        # ever started at it.
         self._idle_estimate = self._make_estimate(slots=1)
 
     def __len__(self) -> int:
@@ -83,16 +83,16 @@
         return len(self.state_by_server)
 
     def __contains__(self, server: str) -> bool:
-        """Tell whether a server may get work."""
+        """Return whether a server may get work."""
         return server in self.state_by_server
 
     @property
     def share(self) -> float:
-        """Part of every engine that may be used."""
+        """Share of every engine that may be used."""
         return self._share
 
     def set_share(self, share: float) -> None:
-        """Take the part of every engine that may be used."""
+        """Set the share of every engine that may be used."""
         if share == self._share:
             return
         self._share = share
@@ -113,7 +113,7 @@
         )
 
     def replace_all(self, states: Iterable[server_state.ServerState]) -> None:
-        """Take the whole list of servers that may get work."""
+        """Set the whole list of servers that may get work."""
         listed = {state.name: state for state in states}
         for name in self.state_by_server.keys() - listed.keys():
             self.drop(name)
@@ -121,9 +121,9 @@
             self.put(state)
 
     def put(self, state: server_state.ServerState) -> None:
-        """Take a server that may get work, or a change of it.
+        """Add or update a server that may get work.
 
-        One that started anew knows nothing of before.
+        A new server instance starts with an empty cache and no requests.
         """
         previous = self.state_by_server.get(state.name)
         if previous == state:
@@ -142,7 +142,7 @@
         self._update_free_slot(state.name)
 
     def drop(self, server: str) -> None:
-        """Take note that a server gets no more work."""
+        """Remove a server, which gets no more work."""
         state = self.state_by_server.get(server)
         if state is None:
             return
@@ -165,11 +165,11 @@
             self.outcomes.forget(server)
 
     def find(self, server: str) -> engine_estimate.EngineEstimate:
-        """Return what is believed of a server; not to be changed."""
+        """Return the estimate of a server; not to be changed by callers."""
         return self._estimate_by_server.get(server, self._idle_estimate)
 
     def find_candidates(self, rng: random.Random) -> list[str]:
-        """Return the servers that a round of decisions looks at."""
+        """Return the servers that a scheduling round considers."""
         if len(self.state_by_server) <= _MAX_SCANNED:
             return list(self.state_by_server)
         with_free_slot = self._with_free_slot.items
@@ -182,13 +182,13 @@
         ]
 
     def find_holders(self, parts: Sequence[job.Part]) -> list[str]:
-        """Return servers that may keep parts of a prompt."""
+        """Return servers that may have parts of a prompt cached."""
         if len(self.state_by_server) <= _MAX_SCANNED:
             return list(self.state_by_server)
         return self._holders.find(parts)
 
     def count_cached(self, parts: Sequence[job.Part]) -> int:
-        """Return the most tokens of a prompt that an engine keeps."""
+        """Return the most tokens of a prompt that one engine has cached."""
         return max(
             (
                 self.find(server).cache.count_cached(parts)
@@ -199,7 +199,7 @@
         )
 
     def find_min_wait(self, rng: random.Random, now: float) -> float:
-        """Return the least seconds of reading ahead of a new request."""
+        """Return the fewest seconds of prefill ahead of a new request."""
         return min(
             (
                 self.find(server).prefill_wait(now)
@@ -217,7 +217,7 @@
         ahead: float | None,
         saved: float,
     ) -> bool:
-        """A request is sent to a server; return whether we know that one."""
+        """Record a start at a server; return whether the server is known."""
         estimate = self._estimate_by_server.get(server)
         state = self.state_by_server.get(server)
         if estimate is None:
@@ -233,7 +233,7 @@
         return True
 
     def end(self, server: str, key: str, now: float) -> None:
-        """A request ended at a server."""
+        """Record that a request ended at a server."""
         estimate = self._estimate_by_server.get(server)
         if estimate is None or key not in estimate:
             return
@@ -253,7 +253,7 @@
         learn: bool,
         late: bool = False,
     ) -> None:
-        """A request's first token came; see ``EngineEstimate``."""
+        """Record the first token of a request; see ``EngineEstimate``."""
         estimate = self._estimate_by_server.get(server)
         if estimate is not None:
             estimate.note_first_token(key, now, learn=learn, late=late)
@@ -267,7 +267,7 @@
         ]
 
     def find_overdue(self, now: float) -> list[tuple[str, str]]:
-        """Return server and key of requests whose callers have given up."""
+        """Return server and key of requests that are past their deadline."""
         return [
             (server, key)
             for server, estimate in self._estimate_by_server.items()
--- a/packages/daisypick_core/src/daisypick_core/scheduling/job.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/job.py
@@ -1,30 +1,30 @@
-"""A request that wants to start at a model engine."""
+"""A request that is ready to start at a model engine."""
 
 import typing
 
 
 class Part(typing.NamedTuple):
-    """A part of a prompt; parts before it belong to its identity."""
+    """A part of a prompt; its name also identifies all parts before it."""
 
     name: str
     tokens: int
 
 
 class Job(typing.NamedTuple):
-    """A request that wants to start.
+    """A request that is ready to start.
 
     Attributes:
         key: Unique in the fleet.
-        router: Router that asks.
-        organisation: Whose request it is.
+        router: Router that submits it.
+        organisation: Organisation of the caller.
         parts: Parts of the prompt in their order.
         prompt_tokens: Tokens of the whole prompt.
-        output_tokens: Tokens that are expected to be generated.
+        output_tokens: Expected number of generated tokens.
         arrived_at: When the caller's request was read.
-        objective_at: When its first event should be out.
-        deadline_at: When its caller gives up, whatever has come.
+        objective_at: When its first event should be sent at the latest.
+        deadline_at: When its caller gives up, whatever was received.
         avoid: Backend servers that it must not go to.
-        data_centre: Where its router is.
+        data_centre: Data centre of its router.
     """
 
     key: str
@@ -45,7 +45,7 @@
         return find_cost(self.prompt_tokens, self.output_tokens)
 
     def find_waited_share(self, now: float) -> float:
-        """Return which part of its objective the request has waited."""
+        """Return the share of its objective that the request has waited."""
         objective_seconds = self.objective_at - self.arrived_at
         return (now - self.arrived_at) / max(objective_seconds, 0.001)
 
@@ -53,8 +53,8 @@
 def find_cost(prompt_tokens: int, output_tokens: int) -> float:
     """Return the tokens that a request counts against its share.
 
-    A token generated counts twice a token read, as the platform counts the
-    capacity of the fleet.
+    A generated token counts as two prompt tokens, as in the platform's measure
+    of the fleet's capacity.
 
     Examples:
         >>> find_cost(1000, 50)
--- a/packages/daisypick_core/src/daisypick_core/scheduling/placement.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/placement.py
@@ -1,12 +1,13 @@
-"""Which open engine a request goes to.
-
-The engine with the earliest first token wins, if that is within the request's
-objective. What an engine keeps of the prompt counts as read; reading again
-what another engine keeps counts more than the time it takes, for it drops
-from memory what others need. Where engines can copy KV cache from each other,
-a request names one that has read most of its prompt, and may go to any. Else
-it waits a while for an engine that is busy but keeps its prompt. Engines in
-the caller's data centre go before equal ones elsewhere.
+"""Which available engine a request goes to.
+
+The engine with the earliest predicted first token is chosen, if that is within
+the request's objective. Prompt tokens that an engine has cached need no
+prefill. Prefill of tokens that another engine has cached is weighted more than
+its time, since it evicts from the KV cache what other requests need. Where
+engines can copy KV cache from each other, a request names a source that has
+prefilled the most of its prompt, and may go to any engine. Otherwise it waits
+for a limited time for a busy engine that has its prompt cached. Engines in the
+router's data centre are preferred to equal ones elsewhere.
 """
 
 from collections.abc import Callable
@@ -17,47 +18,47 @@
 from daisypick_core.scheduling import engine_estimate
 from daisypick_core.scheduling import job
 
-# Seconds of reading that may wait at one engine. What waits here can still
-# be ordered, what waits there cannot; this much keeps an engine busy until
-# the next start reaches it.
+# Limit of the prefill backlog of an available engine, in seconds. Requests that
+# wait in the scheduler can still be reordered, those at an engine cannot; this
+# backlog keeps an engine busy until the next start reaches it.
 MAX_BACKLOG_SECONDS = 0.1
-# How many times the usual error of a prediction a first token must be ahead
-# of its objective.
+# Safety margin between a predicted first token and the objective, in multiples
+# of the mean prediction error.
 _ERROR_MARGIN = 1.0
-# Seconds that a request in the batch counts when engines are compared: it
-# slows the tokens of all others a little.
+# Cost in seconds of each running request when engines are compared: it slows
+# the decode steps of all others in the batch a little.
 _BATCH_SLOT_SECONDS = 0.0015
-# How much a token that another engine keeps counts when it is read again.
-# Reading it costs the engine once; dropping from its memory what others need
-# costs several times that.
+# Weight of a token that is prefilled again although another engine has it
+# cached. The prefill costs the engine once; evicting from its KV cache what
+# other requests need costs several times that.
 _RECOMPUTE_WEIGHT = 12.0
-# What an engine in another data centre counts more, in seconds: an equal one
-# nearby goes first, one that keeps a long part of the prompt does not.
+# Extra cost in seconds of an engine in another data centre: enough to prefer an
+# equal engine nearby, too little to outweigh a long cached part of the prompt.
 _REMOTE_SECONDS = 0.01
-# Kept tokens, beyond what any open engine keeps, for which a request waits:
-# about as many as a short request has of its own.
+# Least number of tokens that a busy engine must have cached beyond the chosen
+# available one for a request to wait for it: about a short prompt's own tokens.
 _MIN_WAIT_GAIN_TOKENS = 2000
 
-# Least tokens that are worth a copy, which takes a message between engines.
+# Fewest tokens that are copied: a copy takes a message between engines.
 _MIN_COPIED_TOKENS = 50
-# Part of the time of reading that copying may take at the most, and how much
-# of its own time it counts: copies wait for each other on an engine's link,
-# and what two engines keep drops something else from the memory of one.
+# Largest share of the prefill time that a copy may take, and the weight of its
+# time as a cost: copies queue behind each other on an engine's link, and tokens
+# cached at two engines evict something else from the KV cache of one.
 _MAX_COPY_SHARE = 0.5
 _COPY_WEIGHT = 6.0
 
 
 class Placement(typing.NamedTuple):
-    """Where a request goes, and what decided it.
+    """The engine chosen for a request, and the figures behind the choice.
 
     Attributes:
         server: The chosen server.
-        kept: Prompt tokens that it is believed to keep.
-        ahead: Prompt tokens that it has to read before.
-        elsewhere: Most prompt tokens that any server is believed to keep.
+        cached: Prompt tokens that it has cached, as estimated.
+        ahead: Prompt tokens queued for prefill there before the request.
+        max_cached: Most prompt tokens that any server has cached.
         source: Server from which KV cache is copied; empty for none.
         copied: Prompt tokens that are copied from there.
-        saved: Prompt tokens worth of reading that the copy spares.
+        saved: Prefill work in prompt tokens that the copy saves.
     """
 
     server: str
@@ -70,13 +71,13 @@
 
 
 class _CachedPrefix(typing.NamedTuple):
-    """Tokens of a prompt that engines keep.
+    """Tokens of a prompt that engines have cached.
 
     Attributes:
-        by_server: Kept or on their way, by server.
-        most: The most of them.
-        source: Server that has read the most, and keeps it.
-        read: What that one has read.
+        by_server: Tokens cached or still in prefill, by server.
+        max_cached: The maximum of these.
+        source: Server that has prefilled and still caches the most.
+        prefilled: Tokens that the source has prefilled.
     """
 
     by_server: dict[str, int]
@@ -98,16 +99,17 @@
     now: float,
     copy_token_seconds: float = 0.0,
 ) -> Placement | None:
-    """Return the best place for a request, or ``None`` if none has room.
+    """Return the best engine for a request, or ``None`` if it has to wait.
 
     Args:
         work: The request.
-        engine_by_server: All engines whose memory counts.
-        backlog_by_server: Unread tokens of the engines that are open.
-        busy: Engines that are closed only for what they have to read.
-        data_centre_by_server: Where the engines are.
-        can_handle: Tells whether a server, which may be cold, bears one more.
-        share: Part of every engine that may be used.
+        engine_by_server: All engines whose prefix caches are considered.
+        backlog_by_server: Prefill backlog in tokens of the available engines.
+        busy: Engines that only their prefill backlog makes unavailable.
+        data_centre_by_server: Data centres of the engines.
+        can_handle: Returns whether a server, which may be cold, can handle one
+            more request.
+        share: Share of every engine that may be used.
         may_wait: Whether the request has time to wait for a busy engine.
         now: The time.
         copy_token_seconds: Seconds in which an engine copies a token of KV
@@ -195,7 +197,7 @@
     engine: engine_estimate.EngineEstimate,
     copy_token_seconds: float,
 ) -> int:
-    """Return how many tokens an engine copies of those it could."""
+    """Return how many of the wanted tokens an engine copies."""
     if wanted < _MIN_COPIED_TOKENS or not copy_token_seconds:
         return 0
     copy_share = copy_token_seconds / engine.speed.token_seconds
@@ -205,7 +207,7 @@
 def _find_saved_share(
     engine: engine_estimate.EngineEstimate, copy_token_seconds: float
 ) -> float:
-    """Return the part of the time of reading that copying spares."""
+    """Return the share of the prefill time that copying saves."""
     return 1.0 - copy_token_seconds / engine.speed.token_seconds
 
 
--- a/packages/daisypick_core/src/daisypick_core/scheduling/prefix_cache.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/prefix_cache.py
@@ -1,10 +1,10 @@
-"""Which parts of prompts an engine is believed to keep.
+"""Estimate of the prompt parts in an engine's prefix cache.
 
-An engine keeps parts that it has read until memory is short, then drops the
-least recently used ones. A part is of use only if all parts before it are
-kept too. Parts of running requests stay. The belief follows what was sent; an
-engine that dropped more than we think reads again, which costs time but
-never correctness.
+An engine caches parts that it has prefilled until memory is short, then evicts
+the least recently used ones. A part is of use only if all parts before it are
+cached too. Parts of running requests are pinned. The estimate follows the
+requests sent; an engine that has evicted more than estimated prefills again,
+which costs time but never correctness.
 
 Examples:
     >>> cache = PrefixCache(capacity=100)
@@ -24,7 +24,11 @@
 
 
 class PrefixCache:
-    """Parts by name, least recently used first."""
+    """Parts by name, least recently used first.
+
+    Attributes:
+        output_tokens: Expected output of running requests.
+    """
 
     def __init__(self, *, capacity: int) -> None:
         self._capacity = capacity
@@ -39,11 +43,11 @@
 
     @property
     def pinned(self) -> int:
-        """Tokens that cannot be dropped: of running requests."""
+        """Tokens of running requests, which cannot be evicted."""
         return self._pinned + self.output_tokens
 
     def count_cached(self, parts: Iterable[job.Part]) -> int:
-        """Return the tokens of the leading parts that are kept."""
+        """Return the tokens of the leading parts that are cached."""
         cached = 0
         for part in parts:
             if part.name not in self._tokens_by_part:
@@ -52,9 +56,9 @@
         return cached
 
     def count_prefilled(self, parts: Iterable[job.Part]) -> int:
-        """Return the tokens of the leading parts that were read in full.
+        """Return the tokens of the leading parts that are fully prefilled.
 
-        Only these can be copied to another engine; the rest is on its way.
+        Only these can be copied to another engine.
         """
         prefilled = 0
         for part in parts:
@@ -64,13 +68,13 @@
         return prefilled
 
     def mark_prefilled(self, parts: Iterable[job.Part]) -> None:
-        """A prompt of these parts was read."""
+        """Record that a prompt of these parts was prefilled."""
         self._prefilled.update(
             part.name for part in parts if part.name in self._tokens_by_part
         )
 
     def count_unpinned(self, parts: Iterable[job.Part]) -> int:
-        """Return the tokens that would be held in addition."""
+        """Return the tokens of the parts that are not pinned yet."""
         return sum(
             part.tokens
             for part in parts
@@ -78,7 +82,7 @@
         )
 
     def begin(self, parts: Iterable[job.Part]) -> None:
-        """A request with these parts starts."""
+        """Record the start of a request with these parts; pins them."""
         for part in parts:
             references = self._references_by_part.get(part.name, 0)
             self._references_by_part[part.name] = references + 1
@@ -91,7 +95,7 @@
         self._evict()
 
     def end(self, parts: Iterable[job.Part]) -> None:
-        """A request with these parts ended; they may be dropped now."""
+        """Record the end of a request with these parts; unpins them."""
         for part in parts:
             references = self._references_by_part.get(part.name, 0)
             if references > 1:
@@ -102,11 +106,11 @@
         self._evict()
 
     def drop_unprefilled(self, parts: Iterable[job.Part]) -> None:
-        """Drop parts that nobody reads any more and that were not read.
+        """Drop parts that were not prefilled and that no request refers to.
 
-        A request that ends before its first token leaves them half read at
-        the best; believed to be kept, they would draw others to an engine
-        that has to read them again.
+        A request that ends before its first token leaves its prefill
+        incomplete. Counted as cached, its parts would attract other requests
+        to an engine that has to prefill them again.
         """
         for part in parts:
             if (
--- a/packages/daisypick_core/src/daisypick_core/scheduling/reading_speed.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/reading_speed.py
@@ -1,11 +1,11 @@
-"""How long engines take to a first token, learned from those that came.
+"""Prediction of the time to first token, learned from observed ones.
 
-An engine reads prompts one after the other, so the time from a request's way
-to its first token is a fixed part plus a part for each token to read, its own
-and those ahead of it. A line through what was seen of all engines of a
-service gives both; a factor for each engine tells how much slower than that
-it is now. An engine that turns slow or cold is so known after a few first
-tokens, and one that nothing is known of counts as an average one.
+An engine prefills prompts one after the other, so the time from sending a
+request to its first token is a fixed base plus a time for each token to
+prefill, its own and those ahead of it. A linear regression over all engines
+of a service gives both; a factor for each engine gives its current slowdown
+against that line. An engine that turns slow or cold is thus detected after a
+few first tokens, and an engine without observations counts as average.
 
 Examples:
     >>> speed = ServiceSpeed()
@@ -21,36 +21,36 @@
     2.0
 """
 
-# Where the belief starts, in seconds and in seconds a token. Weighs as much
-# as one first token at each of two sizes, so a handful of first tokens
-# outweigh it.
+# Prior of the line, in seconds and in seconds per token. It weighs as much as
+# one observation at each of two sizes, so a handful of first tokens outweigh
+# it.
 _INITIAL_BASE_SECONDS = 0.03
 _INITIAL_TOKEN_SECONDS = 1.0 / 50_000.0
 _PRIOR_TOKENS = 5000.0
-# Part of what is known that each first token leaves in force: some hundred
-# first tokens of a service make its line, some ten of an engine its factor.
+# Exponential decay per first token: about a hundred first tokens of a service
+# determine its line, about ten of an engine its factor.
 _SERVICE_DECAY = 0.99
 _ENGINE_DECAY = 0.9
-# Bounds of an engine's factor: one lie or one lost answer must neither shut
-# an engine out nor open it to everything.
+# Bounds of an engine's factor, so that false or missing observations neither
+# exclude an engine nor attract all requests to it.
 _MIN_FACTOR, _MAX_FACTOR = 0.3, 20.0
 _MIN_SECONDS = 0.001
-# A first token counts as at most so many times later, or sooner, than
-# expected. Some wait for a place in a full batch or for memory, which says
-# nothing of reading: unbounded, a few of them tilted the line until tokens
-# seemed to take no time.
+# Largest ratio, either way, between an observed and a predicted time; larger
+# ones are clamped. Some first tokens wait for a slot in a full batch or for
+# memory, which is unrelated to prefill: without the bound a few of these
+# outliers flatten the line until a token seems to take no time.
 _MAX_ERROR_RATIO = 2.0
 
 
 class ServiceSpeed:
-    """The line of a service: a base, and seconds a token.
+    """The latency line of a service: a base, and seconds per token.
 
-    A weighted least squares fit that forgets; errors grow with the time
-    itself, so an observation weighs by the inverse of its time.
+    A weighted least squares fit with exponential decay. Errors grow with the
+    time itself, so an observation is weighted by the inverse of its time.
 
     Args:
-        base: Seconds with nothing to read, to begin with.
-        token_seconds: Seconds a token, to begin with.
+        base: Initial seconds to a first token without any prefill.
+        token_seconds: Initial seconds per token.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
     ) -> None:
         self.base = base
         self.token_seconds = token_seconds
-        # Relative error that is usual, of predictions of first tokens.
+        # Mean relative error of predictions, with exponential decay.
         self.relative_error = 0.25
         self._weight = 0.0
         self._tokens = 0.0
@@ -72,11 +72,11 @@
         self._add(_PRIOR_TOKENS, self.predict(_PRIOR_TOKENS))
 
     def predict(self, tokens: float) -> float:
-        """Return the seconds to a first token with ``tokens`` to read."""
+        """Return the seconds to first token with ``tokens`` to prefill."""
         return self.base + tokens * self.token_seconds
 
     def learn(self, tokens: float, seconds: float) -> None:
-        """Take a first token that was seen."""
+        """Learn from an observed first token."""
         expected = self.predict(tokens)
         seconds = min(
             max(seconds, expected / _MAX_ERROR_RATIO),
@@ -91,7 +91,7 @@
         self._fit()
 
     def note_error(self, relative: float) -> None:
-        """Take by which part of itself a prediction was off."""
+        """Record the relative error of a prediction."""
         error = min(abs(relative), 1.0)
         self.relative_error += (1.0 - _SERVICE_DECAY) * (
             error - self.relative_error
@@ -123,7 +123,7 @@
 
 
 class EngineSpeed:
-    """One engine against the line of its service."""
+    """Slowdown of one engine against the line of its service."""
 
     def __init__(self, *, service: ServiceSpeed) -> None:
         self._service = service
@@ -131,30 +131,30 @@
 
     @property
     def token_seconds(self) -> float:
-        """Seconds that the engine reads at a token."""
+        """Seconds of prefill per token at this engine."""
         return self._service.token_seconds * self.factor
 
     @property
     def relative_error(self) -> float:
-        """Relative error that predictions usually have."""
+        """Mean relative error of predictions."""
         return self._service.relative_error
 
     def predict(self, tokens: float) -> float:
-        """Return the seconds to a first token with ``tokens`` to read."""
+        """Return the seconds to first token with ``tokens`` to prefill."""
         return self._service.predict(tokens) * self.factor
 
     def learn(
         self, tokens: float, seconds: float, *, was_idle: bool = True
     ) -> None:
-        """Take a first token that was seen.
+        """Learn from an observed first token.
 
         Args:
-            tokens: What the engine had to read, as far as known.
-            seconds: From the request's way to its first token.
-            was_idle: Whether the engine had nothing to read before. Only then
-                are the tokens known well enough for the line: what lies ahead
-                is itself reckoned by the line, and an error in it makes the
-                line flatter, which makes the error grow.
+            tokens: Estimated tokens that the engine had to prefill.
+            seconds: From sending the request to its first token.
+            was_idle: Whether the engine had no prefill backlog before. Only
+                then are the tokens known well enough for the line: a backlog
+                is itself estimated by the line, and an error in it flattens
+                the line, which makes the error grow.
         """
         expected = self._service.predict(tokens)
         self._service.note_error(seconds / (expected * self.factor) - 1.0)
--- a/packages/daisypick_core/src/daisypick_core/scheduling/recent_holders.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/recent_holders.py
@@ -1,7 +1,7 @@
 """Which engine was last sent a part of a prompt.
 
-Before many engines a scheduler does not go through the memory of each for
-every request; this names one that surely had the part a moment ago.
+With many engines a scheduler does not search the prefix cache of each one for
+every request; this index names an engine that had the part a moment ago.
 
 Examples:
     >>> holders = RecentHolders(max_parts=2)
@@ -21,10 +21,10 @@
 
 
 class RecentHolders:
-    """Servers by part, the least recently noted part first.
+    """Servers by part, the least recently used part first.
 
     Args:
-        max_parts: Parts that are remembered.
+        max_parts: Upper bound of the parts that are remembered.
     """
 
     def __init__(self, *, max_parts: int) -> None:
@@ -32,7 +32,7 @@
         self._server_by_part: dict[str, str] = {}
 
     def note(self, parts: Iterable[job.Part], server: str) -> None:
-        """A request with these parts was sent to a server."""
+        """Record that a request with these parts was sent to a server."""
         for part in parts:
             self._server_by_part.pop(part.name, None)
             self._server_by_part[part.name] = server
@@ -40,6 +40,6 @@
             del self._server_by_part[next(iter(self._server_by_part))]
 
     def find(self, parts: Sequence[job.Part]) -> list[str]:
-        """Return servers that had a part, of the last part first."""
+        """Return the last server of each part, starting with the last part."""
         found = (self._server_by_part.get(part.name) for part in parts[::-1])
         return [server for server in found if server is not None]
--- a/packages/daisypick_core/src/daisypick_core/scheduling/recent_keys.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/recent_keys.py
@@ -1,7 +1,7 @@
-"""Keys that were seen in the last seconds.
+"""Keys that were recorded in the last seconds.
 
-Kept in two generations, of which the older one is dropped: a key is known for
-at least the given time, and for twice that at the most.
+Two generations are kept and the older one is dropped as a whole: a key is
+remembered for at least the given time and at most twice that.
 
 Examples:
     >>> keys = RecentKeys(seconds=4.0)
@@ -15,10 +15,10 @@
 
 
 class RecentKeys:
-    """Which keys are new.
+    """Set of recent keys.
 
     Attributes:
-        seconds: How long a key is known at the least.
+        seconds: Least time for which a key is remembered.
     """
 
     def __init__(self, *, seconds: float) -> None:
@@ -28,7 +28,7 @@
         self._rotate_at = -math.inf
 
     def add(self, key: str, now: float) -> bool:
-        """Note a key; return whether it is new."""
+        """Record a key; return whether it is new."""
         if now >= self._rotate_at:
             stale = now >= self._rotate_at + self.seconds
             self._older = set() if stale else self._newer
--- a/packages/daisypick_core/src/daisypick_core/scheduling/server_state.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/server_state.py
@@ -1,17 +1,17 @@
-"""What the list of backend servers says of one that may get work."""
+"""The listed state of a backend server that may get work."""
 
 import typing
 
 
 class ServerState(typing.NamedTuple):
-    """What the list says of a server that may get work.
+    """The state of a server that may get work, from the list of servers.
 
     Attributes:
-        name: Its id.
-        slots: Requests in one batch.
-        cold_until: When it is warm.
-        born: Its start.
-        data_centre: Where it is.
+        name: Id of the server.
+        slots: Requests that fit into one batch.
+        cold_until: Time from which it counts as warm.
+        born: Identifies the server instance; changes with each restart.
+        data_centre: Data centre of the server.
     """
 
     name: str
