--- a/packages/daisypick_core/src/daisypick_core/scheduling/__init__.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/__init__.py
@@ -1,26 +1,29 @@
 """Which request starts next, and at which model engine.
 
-One scheduler decides for all backend servers of a service, so that what one
-router places is known when the next one asks. The same object serves a router
-that has to decide alone for a while, with a part of the capacity.
+One scheduler decides for all backend servers of a service, so that it accounts
+for what each router has started before it decides for the next. The same
+object serves a router that has to decide locally for a while, with a share of
+the capacity.
 
-* ``job``: a request that wants to start.
+* ``job``: a request that is ready to start.
 * ``server_state``: a server that may get work.
-* ``prefix_cache``: which parts of prompts an engine is believed to keep.
-* ``engine_estimate``: what an engine is believed to be doing.
-* ``engine_fleet``: the engines that may get work, and their beliefs.
-* ``engine_candidates``: the engines that one round of decisions looks at.
+* ``prefix_cache``: estimate of the prompt parts in an engine's prefix cache.
+* ``engine_estimate``: estimated load, memory and speed of an engine.
+* ``engine_fleet``: the engines that may get work, and their estimates.
+* ``engine_candidates``: the engines that one scheduling round considers.
 * ``recent_holders``: which engine was last sent a part of a prompt.
 * ``fair_share``: which organisations are within their share.
 * ``recent_keys``: which starts were counted already.
-* ``organisation_tally``: what organisations asked and got, for log lines.
-* ``fair_windows``: who was served least, from such lines.
-* ``placement``: which open engine a request goes to.
-* ``waiting``: requests that wait, by organisation.
+* ``organisation_tally``: demand and usage of organisations, for log lines.
+* ``fair_windows``: the worst served organisations, computed from such lines.
+* ``placement``: which available engine a request goes to.
+* ``wait_queue``: waiting requests, by organisation.
 * ``hosts``: which router hosts the scheduler of a service.
-* ``cold_limits``: what routers sent to servers that may turn cold.
+* ``pauses``: organisations whose requests a router refuses for a moment.
+* ``cold_limits``: rate limits of routers at servers that may be cold.
+* ``reading_speed``: prediction of the time to first token.
 * ``admission``: which requests may wait, and for how long.
-* ``fleet_report``: what is believed of engines, for logs.
-* ``actions``: what a scheduler asks its driver to do.
+* ``fleet_report``: estimated state of engines, for logs.
+* ``actions``: what a scheduler returns to its driver.
 * ``scheduler``: the decisions.
 """
--- a/packages/daisypick_core/src/daisypick_core/scheduling/actions.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/actions.py
@@ -1,4 +1,4 @@
-"""What a scheduler asks its driver to do."""
+"""Actions that a scheduler returns to its driver."""
 
 import typing
 
@@ -9,9 +9,9 @@
     Attributes:
         key: The request.
         server: Where it goes.
-        kept: Prompt tokens that the server is believed to keep.
-        ahead: Prompt tokens that it has to read before.
-        elsewhere: Most prompt tokens that any server is believed to keep.
+        kept: Prompt tokens in the server's prefix cache, as estimated.
+        ahead: Prompt tokens queued for prefill at the server before it.
+        elsewhere: Most prompt tokens that any server has cached, as estimated.
         source: Server from which KV cache is copied; empty for none.
         copied: Prompt tokens that are copied from there.
     """
@@ -26,14 +26,14 @@
 
 
 class Refuse(typing.NamedTuple):
-    """Tell the caller that its request has not run.
+    """Refuse a request; the caller learns that it has not run.
 
     Attributes:
         key: The request.
-        retry_after: Seconds after which to come back.
-        reason: For the log.
-        pause: Seconds in which more requests of the organisation would be
-            refused too, so that routers need not ask.
+        retry_after: Seconds after which the caller should retry.
+        reason: Why it is refused.
+        pause: Seconds in which further requests of the organisation would be
+            refused too, so that routers need not submit them.
     """
 
     key: str
--- a/packages/daisypick_core/src/daisypick_core/scheduling/admission.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/admission.py
@@ -1,9 +1,9 @@
 """Which requests may wait for an engine, and for how long.
 
-A request waits while its own prompt can still be read in time. Of an
-organisation beyond its share only so many wait as may still start; the rest of
-its flood is refused at once, except that a new request which can be in time
-takes the place of one which cannot.
+A request waits while its first token can still meet its objective. Of an
+organisation over its share only as many requests wait as may still start; the
+rest is refused at once, except that a new request which can still meet its
+objective displaces a waiting one which cannot.
 """
 
 import random
@@ -14,20 +14,20 @@
 from daisypick_core.scheduling import reading_speed
 from daisypick_core.scheduling import wait_queue
 
-# Parts of the objective that a request may wait: as long as the rest suffices
-# for its own prompt, within these bounds.
+# Bounds of the share of its objective that a request may wait. Within them it
+# waits as long as the remaining time suffices for its own prefill.
 MIN_WAIT_SHARE = 0.3
 MAX_WAIT_SHARE = 0.6
-# Requests that wait at the most; more than start within an objective.
+# Upper bound of all waiting requests; more than start within an objective.
 _MAX_WAITING = 400
-# The same for one organisation that is beyond its share. The largest ones
-# start some 75 requests a second, so about as many as these start before the
-# first of them is given up.
+# Upper bound for one organisation that is over its share. The largest ones
+# start some 75 requests per second, so about this many start before the first
+# of them expires.
 MOST_WAITING_BEYOND = 32
 
 
 class Admission:
-    """Decides about the queue of a scheduler."""
+    """Admission control of a scheduler's queue."""
 
     def __init__(
         self,
@@ -45,14 +45,14 @@
         self._rng = rng
 
     def is_full(self) -> bool:
-        """Tell whether as many requests wait as may."""
+        """Return whether the queue has reached its upper bound."""
         return len(self._waiting) >= _MAX_WAITING
 
     def add(self, work: job.Job) -> None:
-        """Let a request wait as long as it may.
+        """Queue a request for as long as it may wait.
 
-        One whose prompt takes nearly the whole objective still waits a while
-        for an idle engine; it would be late anyway.
+        One whose prefill takes nearly the whole objective still waits a
+        minimum time for an idle engine; it would miss its objective anyway.
         """
         objective_seconds = work.objective_at - work.arrived_at
         seconds = self._predict_first_token_seconds(work)
@@ -67,27 +67,28 @@
         )
 
     def _predict_first_token_seconds(self, work: job.Job) -> float:
-        """Return the time to a first token at an idle engine, with a margin.
+        """Return the time to first token at an idle engine, with a margin.
 
-        What engines keep of the prompt is not read again.
+        Tokens of the prompt that an engine has cached need no prefill.
         """
         cached = self._fleet.count_cached(work.parts)
         seconds = self._speed.predict(max(work.prompt_tokens - cached, 0))
         return seconds * (1.0 + self._speed.relative_error)
 
     def exceeds_queue_limit(self, work: job.Job, now: float) -> bool:
-        """Tell whether too many of an organisation beyond its share wait."""
+        """Return whether too many of an organisation over its share wait."""
         waiting = self._waiting.count(work.organisation)
         return waiting >= MOST_WAITING_BEYOND and not self._shares.is_within(
             work.organisation, work.cost, now
         )
 
     def displace_infeasible(self, work: job.Job, now: float) -> job.Job | None:
-        """Take out a request that is too late in favour of one that is not.
+        """Displace a request that misses its objective by one that meets it.
 
-        Of a flood only some wait. Once these are too late for any engine they
-        are refused one by one at their time, and each new one, which could be
-        in time, at once: the organisation waits through and gets nothing.
+        An organisation over its share has a bounded number of waiting
+        requests. Once no engine can start these in time, each of them would
+        stay until it expires while new requests, which could still meet their
+        objective, are refused at once: the organisation would get nothing.
         """
         if not self.exceeds_queue_limit(work, now):
             return None
@@ -102,7 +103,7 @@
         return infeasible
 
     def describe_share(self, organisation: str, now: float) -> str:
-        """Say why an organisation's request is refused."""
+        """Return the reason for which an organisation's request is refused."""
         usage = self._shares.find_usage(organisation, now)
         return (
             f"beyond its organisation's share: {usage:.0f} tokens begun of"
--- a/packages/daisypick_core/src/daisypick_core/scheduling/fair_share.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/fair_share.py
@@ -1,10 +1,10 @@
 """Which organisations are within their share of the fleet's capacity.
 
-The capacity of some seconds is divided by max-min fairness: organisations
-that ask for less than an even share get what they ask, the others divide the
-rest evenly. What an organisation has begun in the window decides whether its
-next request is within its share. A request beyond it may still run, but only
-on capacity that nobody else wants.
+The capacity of a sliding window is divided by max-min fairness: organisations
+that demand less than an equal share get their demand, the others divide the
+rest equally. The tokens of an organisation's requests that started in the
+window are its usage, which decides whether its next request is within its
+share. A request over the share may still run, but only on spare capacity.
 
 Examples:
     >>> shares = FairShare(window_seconds=4.0)
@@ -24,21 +24,22 @@
 from collections.abc import Iterable
 import math
 
-# Steps in which the window moves; a sixteenth keeps the sums within seven in
-# a hundred of a window that moves with every request.
+# Steps in which the window moves. With 16 steps the sums are within 7 % of
+# those of a window that moves with every request.
 _STEPS = 16
-# How long a computed level is used: half a step of a window of four seconds.
+# Seconds for which a computed level is reused: less than half a step of a
+# window of four seconds.
 _LEVEL_CACHE_SECONDS = 0.1
 
 
 class _SlidingSum:
-    """Sum over the last steps."""
+    """Sum over the steps of the window."""
 
     __slots__ = ("_first", "_sums", "newest_step", "total")
 
     def __init__(self) -> None:
         self._first = 0
-        # Step of the newest amount.
+        # Step of the most recent amount.
         self.newest_step = 0
         self._sums: list[float] = [0.0] * _STEPS
         self.total = 0.0
@@ -60,7 +61,7 @@
 
 
 def find_max_min_level(demands: Iterable[float], capacity: float) -> float:
-    """Return the level up to which demands are met; infinite if all are.
+    """Return the max-min fair level of demands; infinite if all are met.
 
     Examples:
         >>> find_max_min_level([1.0, 5.0, 9.0], 9.0)
@@ -81,7 +82,7 @@
 def _drop_expired(
     sum_by_organisation: dict[str, _SlidingSum], step: int
 ) -> None:
-    """Drop organisations of which nothing lies in the window any more."""
+    """Drop organisations whose last amount has left the window."""
     expired = [
         organisation
         for organisation, total in sum_by_organisation.items()
@@ -92,7 +93,7 @@
 
 
 class FairShare:
-    """Asked and begun tokens by organisation, in a sliding window."""
+    """Demand and usage in tokens by organisation, in a sliding window."""
 
     def __init__(self, *, window_seconds: float) -> None:
         self._seconds = window_seconds
@@ -104,21 +105,21 @@
         self._level_at = -math.inf
 
     def set_capacity(self, *, tokens_per_second: float) -> None:
-        """Take what the fleet produces; zero if that is not known."""
+        """Set the throughput of the fleet; zero if that is not known."""
         self._capacity = tokens_per_second * self._seconds
 
     def _step(self, now: float) -> int:
         return int(now / self._step_seconds)
 
     def add_demand(self, organisation: str, tokens: float, now: float) -> None:
-        """Count a request that wants to run."""
+        """Add a submitted request to its organisation's demand."""
         demand = self._demand_by_organisation.setdefault(
             organisation, _SlidingSum()
         )
         demand.add(self._step(now), tokens)
 
     def add_usage(self, organisation: str, tokens: float, now: float) -> None:
-        """Count a request that runs."""
+        """Add a started request to its organisation's usage."""
         usage = self._usage_by_organisation.setdefault(
             organisation, _SlidingSum()
         )
@@ -132,7 +133,7 @@
         )
 
     def find_level(self, now: float) -> float:
-        """Return the tokens of the window that each may have at the most."""
+        """Return the tokens that each organisation may use in a window."""
         if now - self._level_at < _LEVEL_CACHE_SECONDS:
             return self._level
         self._level_at = now
@@ -153,7 +154,7 @@
         return self._level
 
     def find_usage(self, organisation: str, now: float) -> float:
-        """Return what an organisation has begun in the window."""
+        """Return the tokens that an organisation has used in the window."""
         usage = self._usage_by_organisation.get(organisation)
         if usage is None:
             return 0.0
@@ -161,7 +162,7 @@
         return usage.total
 
     def is_within(self, organisation: str, tokens: float, now: float) -> bool:
-        """Tell whether a request is within its organisation's share."""
+        """Return whether a request is within its organisation's share."""
         level = self.find_level(now)
         usage = self.find_usage(organisation, now)
         return usage == 0.0 or usage + tokens <= level
--- a/packages/daisypick_core/src/daisypick_core/scheduling/fair_windows.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/fair_windows.py
@@ -1,10 +1,11 @@
-"""Who was served least, for what it asked, while others were served.
+"""Organisations that were starved relative to the best served one.
 
-An organisation *waits through* a span if in each second of it one of its
-requests is refused, or begins late. What is due to it there is half of what
-it asked, or of what the best served one got, whichever is less, second by
-second. The margin is what it got, and three of its largest requests, against
-that: below one the fleet was unfair to it.
+An organisation is *starved* throughout a span if in each second of it one of
+its requests is refused, or starts late. Its entitlement in the span is half of
+its demand, or half of what the best served organisation got, whichever is
+less, second by second. The margin is the ratio of what it got, plus three of
+its largest requests as tolerance, to its entitlement: below one the fleet was
+unfair to it.
 
 Examples:
     >>> flood = [Second(asked=900.0, got=100.0, missed=True, largest=10.0)] * 6
@@ -20,7 +21,7 @@
 import typing
 
 SPAN_SECONDS = 6
-# Requests that may start a moment sooner or later than the span.
+# Requests that may have started shortly before or after the span.
 _TOLERATED_REQUESTS = 3
 _ENTITLED_SHARE = 0.5
 
@@ -31,9 +32,9 @@
     """One organisation in one second, in tokens.
 
     Attributes:
-        asked: Tokens of the requests that came.
-        got: Tokens of the requests that began.
-        missed: Whether a request was refused, or began late or never.
+        asked: Tokens of the requests that arrived.
+        got: Tokens of the requests that started.
+        missed: Whether a request was refused, or started late or never.
         largest: Tokens of the largest request.
     """
 
@@ -44,16 +45,16 @@
 
 
 class Served(typing.NamedTuple):
-    """What an organisation got in a span in which it waited through.
+    """What an organisation got in a span throughout which it was starved.
 
     Attributes:
-        organisation: Which one.
+        organisation: Name of the organisation.
         begins: First second of the span.
-        asked: Tokens that it asked for.
+        asked: Tokens that it demanded.
         got: Tokens that it got.
-        best: The best served organisation.
-        best_got: Tokens that this one got.
-        margin: What it got against what was due.
+        best: Name of the best served organisation.
+        best_got: Tokens that the best served organisation got.
+        margin: Ratio of what it got, with the tolerance, to its entitlement.
     """
 
     organisation: str
@@ -71,7 +72,7 @@
 def find_least_served(
     by_organisation: Mapping[str, _SecondBySecond],
 ) -> list[Served]:
-    """Return the worst span of each organisation that ever waited through.
+    """Return the worst span of each organisation that was ever starved.
 
     Args:
         by_organisation: For each organisation its seconds, by their number.
--- a/packages/daisypick_core/src/daisypick_core/scheduling/fleet_report.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/fleet_report.py
@@ -1,21 +1,21 @@
-"""What a scheduler believes of its engines, in a few lines of a log.
+"""The estimated state of a scheduler's engines, for log lines.
 
-The number of engines that are named is bounded, so that a line does not grow
-with the fleet; sums count all of them.
+The number of engines listed is bounded, so that a line does not grow with the
+fleet; the sums are over all engines.
 """
 
 import heapq
 
 from daisypick_core.scheduling import engine_fleet
 
-# Engines that are named: the fullest ones.
+# Number of engines that are listed: those with the most requests.
 _MAX_LISTED = 48
 
 
 def describe_engines(
     fleet: engine_fleet.EngineFleet, now: float
 ) -> list[dict[str, object]]:
-    """Return a line for each of the fullest engines."""
+    """Return a row for each of the engines with the most requests."""
     names = heapq.nlargest(
         _MAX_LISTED,
         fleet.state_by_server,
--- a/packages/daisypick_core/src/daisypick_core/scheduling/hosts.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/hosts.py
@@ -1,11 +1,11 @@
 """Which router hosts the scheduler of a service.
 
-Every router works it out by itself from the routers that it believes to be
-alive: those with the most processor first, as a host decides for the whole
-service beside its own callers; among equals by rendezvous hashing, so that a
-router that goes moves only the services that it hosted. Two routers that
-believe differently ask different hosts for a while, which costs some waste
-but breaks no promise.
+Every router computes this by itself from the routers that it considers alive:
+those with the most processor cores first, as a host decides for the whole
+service in addition to serving its own callers; among equals by rendezvous
+hashing, so that a router that leaves moves only the services that it hosted.
+Two routers with different views use different hosts for a while, which wastes
+some capacity but violates no guarantee.
 
 Examples:
     >>> routers = {"a": 0.4, "b": 0.4, "c": 0.4, "big": 2.2}
@@ -20,8 +20,8 @@
 from collections.abc import Mapping
 import hashlib
 
-# Processors that differ by less than this part of a core count as equal; two
-# VMs of one kind are told figures that differ in the second digit.
+# Granularity, in cores, at which routers are compared: two VMs of one kind
+# report figures that differ in the second digit and should count as equal.
 _CORES_STEP = 0.25
 
 
--- a/packages/daisypick_core/src/daisypick_core/scheduling/organisation_tally.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/organisation_tally.py
@@ -1,7 +1,7 @@
-"""What organisations asked for and got since somebody last looked.
+"""Demand and usage of organisations since the last read.
 
-Log lines of single requests are left out under a flood, which is when they
-would tell who is served at whose expense. Sums by organisation are few and
+Log lines of single requests are dropped under overload, which is when they
+would show who is served at whose expense. Sums by organisation are few and
 exact, so they can be written at any load.
 
 Examples:
@@ -31,12 +31,12 @@
         self._sums_by_organisation[organisation].update(amounts)
 
     def note_most(self, organisation: str, name: str, value: float) -> None:
-        """Keep the greatest value of a name."""
+        """Keep the maximum of the values of a name."""
         sums = self._sums_by_organisation[organisation]
         sums[name] = max(sums[name], value)
 
     def take(self, limit: int, *, by: str) -> list[dict[str, str | float]]:
-        """Return the rows with the greatest sums of a name, and start anew."""
+        """Return the rows with the largest sums of a name, and reset."""
         taken = sorted(
             self._sums_by_organisation.items(),
             key=lambda item: item[1][by],
--- a/packages/daisypick_core/src/daisypick_core/scheduling/pauses.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/pauses.py
@@ -1,10 +1,11 @@
-"""Organisations whose requests are refused without asking, for a moment.
+"""Organisations whose requests a router refuses locally, for a short time.
 
-A flood of one organisation that was refused by its service's scheduler asks
-again at once, and each question costs two messages and two wake-ups. On a
-small VM hundreds of them are open at once, and requests of others end at their
-deadlines without an answer. So a refusal says for how long the
-next ones would fare the same, and the router refuses them by itself.
+An organisation that is far over its share keeps submitting requests after the
+scheduler of the service has refused some, and each submission costs two
+messages and two wake-ups. On a small VM hundreds of them are outstanding at
+once, and requests of other organisations reach their deadlines without a
+response. So a refusal states for how long further requests would be refused
+too, and the router refuses these without submitting them.
 
 Examples:
     >>> pauses = Pauses()
@@ -19,8 +20,8 @@
 
 import math
 
-# How long an organisation counts as a flood after its last pause; some times
-# as long as the loop of a busy VM is late.
+# Seconds for which an organisation counts as recently paused after the end of
+# its last pause: several times the lag of the event loop on a busy VM.
 _RECENT_PAUSE_SECONDS = 2.0
 
 
@@ -31,15 +32,15 @@
         self._until_by_organisation: dict[str, float] = {}
 
     def set(self, organisation: str, *, seconds: float, now: float) -> None:
-        """Take a pause from now on."""
+        """Pause an organisation from now on."""
         self._until_by_organisation[organisation] = now + seconds
 
     def is_paused(self, organisation: str, now: float) -> bool:
-        """Tell whether an organisation's requests are refused now."""
+        """Return whether an organisation's requests are refused now."""
         return now < self._find_end(organisation)
 
     def was_paused(self, organisation: str, now: float) -> bool:
-        """Tell whether an organisation was paused a moment ago, or is now."""
+        """Return whether an organisation is or was recently paused."""
         return now < self._find_end(organisation) + _RECENT_PAUSE_SECONDS
 
     def _find_end(self, organisation: str) -> float:
--- a/packages/daisypick_core/src/daisypick_core/scheduling/scheduler.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/scheduler.py
@@ -1,19 +1,19 @@
 """Which request starts next, and at which engine of a service.
 
-Two things make callers wait at a model service: prompt tokens ahead of their
-own, and a full batch. A request that an engine has admitted cannot be taken
-back, so requests wait here, where the order can still change, and an engine
-gets only as much as it can begin in time.
+Two things make callers wait at a model service: the prefill of prompt tokens
+ahead of their own, and a full batch. A request that an engine has admitted
+cannot be taken back, so requests wait here, where they can still be reordered,
+and an engine gets only as much as it can start in time.
 
-*Placing* is told in ``placement``, *shares* in ``fair_share``.
+*Placement* is described in ``placement``, *shares* in ``fair_share``.
 
-*Order.* The organisation that has begun least in the last seconds goes first;
-within it the request whose objective ends first. What is beyond a share waits
-for capacity that is spare, which so goes evenly to those who want it.
+*Order.* The organisation with the least usage in the window goes first; within
+it the request whose objective ends first. Requests over a share wait for spare
+capacity, which is thus divided evenly among the organisations that want it.
 
-*Refusing* is told in ``admission``: a request that has not started when its own
-prompt just leaves time for it is refused with a time to come back, since what
-starts later would be late and delay others.
+*Refusal* is described in ``admission``: a request that has not started by the
+latest time at which its own prefill still fits into the objective is refused
+with a retry delay, since a later start would miss it and delay others.
 """
 
 from collections.abc import Iterable
@@ -36,21 +36,22 @@
 from daisypick_core.scheduling import server_state
 from daisypick_core.scheduling import wait_queue
 
-# Part of the objective in which a request may wait for the engine that keeps
-# its prompt while others are open. It may then still start elsewhere.
+# Share of the objective for which a request may wait for the engine that has
+# its prompt cached while others are available. It can still start elsewhere
+# after that.
 _CACHED_WAIT_SHARE = 0.25
-# Requests of an organisation, and of all, that are looked at when something
-# may start, and the least time from one look to the next, in seconds. A host
-# that looked at every waiting request at each event was busy with nothing
-# else under a flood, and callers waited to their deadlines.
+# Number of waiting requests of an organisation, and of all, that are examined
+# for a start, and the least interval between two dispatches, in seconds. Under
+# overload a host that examines every waiting request at each event has time
+# for nothing else, and callers wait until their deadlines.
 _MAX_EXAMINED_PER_ORGANISATION = 3
 _MAX_EXAMINED = 24
 _DISPATCH_INTERVAL_SECONDS = 0.008
-# How long routers need not ask for an organisation of which so many wait:
-# two or three of them start in this time.
+# Seconds for which routers need not submit requests of an organisation that has
+# reached its queue limit: two or three of its requests start in this time.
 _PAUSE_SECONDS = 0.04
-# Callers come back at random within this range of seconds, so that those
-# refused together do not return together.
+# Range in seconds of the random retry delay, so that callers refused together
+# do not retry together.
 RETRY_AFTER = (0.4, 1.4)
 
 
@@ -58,13 +59,13 @@
     """Decisions for one service.
 
     Args:
-        kv_tokens: KV cache of one engine.
+        kv_tokens: KV cache of one engine, in tokens.
         copy_token_seconds: Seconds in which an engine copies a token of KV
             cache from another one; zero if it cannot.
-        cold_rate: Requests a second that a cold engine bears.
-        window_seconds: Over which capacity is shared fairly.
-        rng: Randomness for times to come back.
-        speed: What is known of the service's engines, shared by the
+        cold_rate: Requests per second that a cold engine can handle.
+        window_seconds: Window over which capacity is shared fairly.
+        rng: Randomness for retry delays and for sampling engines.
+        speed: Latency model of the service's engines, shared by the
             schedulers of a process.
     """
 
@@ -97,32 +98,32 @@
         self._dispatched_at = -math.inf
 
     def set_fleet(self, *, routers: Iterable[str], share: float) -> None:
-        """Take the routers and the part of the capacity to use.
+        """Set the routers and the share of the capacity to use.
 
         A scheduler that decides for all routers uses all of it; a router that
-        decides alone its part.
+        decides locally uses its own share.
 
         Args:
             routers: Names of all routers; none while they are not known.
-            share: Part of every engine that may be used.
+            share: Share of every engine that may be used.
         """
         self._fleet.set_share(share)
         self._cold_limits.set_routers(routers)
 
     def set_servers(self, states: Iterable[server_state.ServerState]) -> None:
-        """Take all servers that may get work."""
+        """Set all servers that may get work."""
         self._fleet.replace_all(states)
 
     def put_server(self, state: server_state.ServerState) -> None:
-        """Take a server that may get work, or a change of it."""
+        """Add or update a server that may get work."""
         self._fleet.put(state)
 
     def drop_server(self, name: str) -> None:
-        """Take note that a server gets no more work."""
+        """Remove a server, which gets no more work."""
         self._fleet.drop(name)
 
     def submit(self, work: job.Job, now: float) -> list[actions.Action]:
-        """Take a request; it starts, waits or is refused."""
+        """Accept a request; it starts, waits or is refused."""
         if not self._fleet:
             return [self._refuse(work, "no backend server takes work")]
         if not self._may_ever_start(work):
@@ -156,7 +157,7 @@
         )
 
     def withdraw(self, key: str, now: float) -> list[actions.Action]:
-        """The caller of a waiting or running request left."""
+        """Drop a waiting or running request whose caller disconnected."""
         work = self._waiting.find(key)
         if work is None:
             return self.note_end(key, now)
@@ -166,13 +167,13 @@
     def note_first_token(
         self, key: str, now: float, *, learn: bool = True, late: bool = False
     ) -> list[actions.Action]:
-        """A request's first token came.
+        """Record the first token of a request.
 
         Args:
             key: The request.
             now: The time.
             learn: Whether it came just now.
-            late: Whether it may have been seen late.
+            late: Whether it may have been observed late.
         """
         server = self._server_by_key.get(key)
         if server is None:
@@ -182,7 +183,7 @@
         return self.dispatch(now)
 
     def note_end(self, key: str, now: float) -> list[actions.Action]:
-        """A request ended at its server."""
+        """Record that a request ended at its server."""
         server = self._server_by_key.pop(key, None)
         if server is None:
             return []
@@ -192,7 +193,7 @@
     def note_failure(
         self, key: str, now: float, *, certain: bool
     ) -> list[actions.Action]:
-        """A request failed at its server; ``certain`` if that is down."""
+        """Record a failure at a server; ``certain`` if the server is down."""
         server = self._server_by_key.get(key)
         if server is not None:
             self._fleet.outcomes.note_failure(server, now, certain=certain)
@@ -207,15 +208,15 @@
         ahead: float | None = None,
         copied: int = 0,
     ) -> None:
-        """A router started a request without asking us.
+        """Record a request that a router started by its own decision.
 
         Args:
             work: The request.
             server: Where it runs.
             now: The time.
-            ahead: Prompt tokens that the server had to read before, where
-                whoever started it knew and it was started just now.
-            copied: Prompt tokens that it copies from another one.
+            ahead: Prompt tokens that the server had to prefill before, if
+                known to the router and if it was started just now.
+            copied: Prompt tokens that it copies from another server.
         """
         if work.key in self._server_by_key:
             return
@@ -226,7 +227,7 @@
         )
 
     def tick(self, now: float) -> list[actions.Action]:
-        """Refuse what waits too long; start what has become possible."""
+        """Refuse requests that waited too long; start what is possible."""
         refused: list[actions.Action] = []
         for work in self._waiting.find_expired(now):
             self._waiting.remove(work)
@@ -243,11 +244,12 @@
         reading: Set[str],
         now: float,
     ) -> list[actions.Action]:
-        """Take which of a router's requests run, and which are still read.
+        """Update which of a router's requests run or are still in prefill.
 
-        What it told while its connection was down is lost. Without this
-        their places and unread tokens keep engines closed until their
-        deadlines, with batches half empty.
+        What the router reported while its connection was down is lost. Without
+        this update the slots and prefill tokens of requests that have ended
+        keep engines unavailable until the deadlines of these requests, with
+        batches half empty.
         """
         for server, key in self._fleet.find_running(router):
             if key not in running:
@@ -258,10 +260,10 @@
         return self.dispatch(now)
 
     def expire(self, now: float) -> list[actions.Action]:
-        """Forget running requests whose callers must have given up.
+        """Drop running requests that are past their deadline.
 
-        The router that would have told us of their end is gone, or its word
-        was lost. Without this their places would be taken for good.
+        The router that would have reported their end is gone, or its report
+        was lost. Without this their slots would never be released.
         """
         for server, key in self._fleet.find_overdue(now):
             self._fleet.end(server, key, now)
@@ -270,7 +272,7 @@
         return self.dispatch(now)
 
     def describe(self, now: float) -> list[dict[str, object]]:
-        """Return a line for each of the fullest engines, for logs."""
+        """Return a row for each of the fullest engines, for logs."""
         return fleet_report.describe_engines(self._fleet, now)
 
     def describe_fleet(self) -> dict[str, int]:
@@ -279,15 +281,15 @@
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of waiting requests."""
         return len(self._waiting)
 
     def count_waiting(self, organisation: str) -> int:
-        """Return how many requests of an organisation wait."""
+        """Return the number of waiting requests of an organisation."""
         return self._waiting.count(organisation)
 
     def dispatch(self, now: float) -> list[actions.Action]:
-        """Start what can start, the least served organisation first."""
+        """Start what can start, the organisation with least usage first."""
         started: list[actions.Action] = []
         if (
             not self.waiting
@@ -353,14 +355,14 @@
         )
 
     def bears(self, router: str, server: str, now: float) -> bool:
-        """Tell whether a server, if it is cold, bears one more of a router."""
+        """Return whether a server can handle one more of a router, if cold."""
         state = self._fleet.state_by_server.get(server)
         if state is None or state.cold_until <= now:
             return True
         return self._cold_limits.can_handle(router, server, now)
 
     def note_sent(self, router: str, server: str, now: float) -> None:
-        """Count a request of a router, in case the server is or turns cold."""
+        """Record a request of a router, in case the server is or turns cold."""
         self._cold_limits.note_sent(router, server, now)
 
     def _start(
@@ -371,7 +373,7 @@
         now: float,
     ) -> actions.Start:
         server = chosen.server
-        # All routers are taken to do with their shares as we do with ours.
+        # Assumes that all routers load their shares like this one.
         ahead = (
             self._fleet.find(server).prefill_backlog(now) / self._fleet.share
         )
@@ -405,12 +407,12 @@
             self.shares.add_usage(work.organisation, work.cost, now)
 
     def _is_counted(self, work: job.Job, now: float) -> bool:
-        """Tell whether a start counts now, against its share and elsewhere.
+        """Return whether a start counts towards its share and cold limits.
 
-        A router that connects again tells what it started lately, most of it
-        for the second time. Counted again, that is some seconds' worth of
-        starts at once, and its organisation gets nothing until they have
-        left the window.
+        A router that reconnects reports its recent starts, most of them for
+        the second time. Counted again, some seconds' worth of starts would be
+        added at once, and their organisation would get nothing until they
+        have left the window.
         """
         is_new = self._counted_keys.add(work.key, now)
         return is_new and now - work.arrived_at < self._counted_keys.seconds
--- a/packages/daisypick_core/src/daisypick_core/scheduling/wait_queue.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/wait_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a start, by organisation.
+"""Requests that wait to be started, by organisation.
 
 Examples:
     >>> waiting = WaitQueue()
@@ -10,7 +10,7 @@
 
 
 class WaitQueue:
-    """Queues by organisation; in each, whose objective ends first."""
+    """Queues by organisation, each ordered by the end of the objective."""
 
     def __init__(self) -> None:
         self._expires_by_key: dict[str, float] = {}
@@ -19,18 +19,19 @@
         self._count = 0
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of waiting requests."""
         return self._count
 
     def add(
         self, work: job.Job, *, expires_at: float, feasible_until: float
     ) -> None:
-        """Take a request.
+        """Add a request.
 
         Args:
             work: The request.
-            expires_at: Until when it waits.
-            feasible_until: Until when an idle engine could begin it in time.
+            expires_at: When it stops waiting and is refused.
+            feasible_until: Latest start at an idle engine that still meets
+                its objective.
         """
         self._expires_by_key[work.key] = expires_at
         self._feasible_until_by_key[work.key] = feasible_until
@@ -40,7 +41,7 @@
         self._count += 1
 
     def remove(self, work: job.Job) -> None:
-        """Drop a request that waits."""
+        """Remove a waiting request."""
         queue = self._queue_by_organisation[work.organisation]
         queue.remove(work)
         del self._expires_by_key[work.key]
@@ -62,7 +63,7 @@
         return list(self._queue_by_organisation)
 
     def count(self, organisation: str) -> int:
-        """Return how many of an organisation wait."""
+        """Return the number of waiting requests of an organisation."""
         return len(self._queue_by_organisation.get(organisation, ()))
 
     def peek(
@@ -70,9 +71,10 @@
     ) -> list[job.Job]:
         """Return the first requests of an organisation.
 
-        Those that are in time if they begin at ``start_at`` go before others.
-        The ones that have waited longest are the first that no engine can
-        begin in time; looked at alone, they keep all behind them waiting.
+        Requests that meet their objective if they start at ``start_at`` go
+        before others. Those that have waited longest are the first that no
+        engine can start in time; if only they were examined, they would block
+        all requests behind them.
         """
         queue = self._queue_by_organisation[organisation]
         feasible = [
@@ -85,7 +87,7 @@
     def find_infeasible(
         self, organisation: str, start_at: float
     ) -> job.Job | None:
-        """Return a request that is not in time if it begins then, if any."""
+        """Return a request that misses its objective if it starts then."""
         return next(
             (
                 work
@@ -96,7 +98,7 @@
         )
 
     def find_expired(self, now: float) -> list[job.Job]:
-        """Return the requests that waited too long."""
+        """Return the requests that have waited until their expiry."""
         return [
             work
             for queue in self._queue_by_organisation.values()
