--- a/packages/daisypick_core/tests/scheduling/test_engine_candidates.py
+++ b/packages/daisypick_core/tests/scheduling/test_engine_candidates.py
@@ -1,4 +1,4 @@
-"""Open, busy and spare engines during a round of decisions."""
+"""Available and busy engines and spare capacity in a scheduling round."""
 
 from daisypick_core.scheduling import engine_candidates
 from daisypick_core.scheduling import engine_fleet
@@ -42,7 +42,7 @@
     return candidates
 
 
-def test_engine_is_open_busy_or_full():
+def test_engine_is_available_busy_or_full():
     fleet = _fleet(3, slots=1)
     fleet.put(
         server_state.ServerState(name="e-1", slots=2, cold_until=0.0, born=1)
@@ -55,7 +55,7 @@
     assert candidates.find_min_wait() == 0.0
 
 
-def test_engine_that_failed_counts_for_nothing():
+def test_ejected_engine_adds_no_capacity():
     fleet = _fleet(2, slots=4)
     for number in range(4):
         _start(fleet, f"a{number}", "e-0")
@@ -66,7 +66,7 @@
     assert not candidates.is_spare()
 
 
-def test_look_follows_the_starts_of_its_round():
+def test_candidates_follow_the_starts_of_their_round():
     fleet = _fleet(2, slots=4)
     candidates = _make_candidates(fleet)
     for number in range(6):
--- a/packages/daisypick_core/tests/scheduling/test_engine_estimate.py
+++ b/packages/daisypick_core/tests/scheduling/test_engine_estimate.py
@@ -1,4 +1,4 @@
-"""What an engine is believed to have to read."""
+"""Estimated prefill backlog and speed of an engine."""
 
 import heapq
 import random
@@ -23,7 +23,7 @@
 
 
 def _engine():
-    """Make an engine that reads 100,000 tokens a second."""
+    """Make an engine that prefills 100,000 tokens per second."""
     service = reading_speed.ServiceSpeed(base=0.01, token_seconds=1e-5)
     return engine_estimate.EngineEstimate(
         slots=4,
@@ -32,7 +32,7 @@
     )
 
 
-def test_unread_falls_while_the_first_request_is_read():
+def test_backlog_shrinks_during_prefill_of_the_first_request():
     engine = _engine()
     assert engine.prefill_backlog(0.0) == 0.0
     engine.start(_job("a", 5000), 0.0, ahead=0.0)
@@ -42,11 +42,11 @@
     assert engine.prefill_backlog(9.0) == 2000.0
 
 
-def test_engine_that_is_silent_is_not_believed_to_read_on():
-    """An engine stops without a word while prompts wait in it.
+def test_backlog_of_a_silent_engine_does_not_shrink():
+    """An engine stops without an error while prompts are queued in it.
 
-    The first token of the first is overdue, nothing is told; requests that
-    were sent there as its queue seemed to empty would wait for nothing.
+    Its oldest first token is overdue. If its backlog seemed to shrink, more
+    requests would be sent there and would never get a response.
     """
     engine = _engine()
     for number in range(4):
@@ -55,11 +55,12 @@
     assert round(engine.prefill_wait(5.0), 3) == 0.14
 
 
-def test_first_token_tells_how_much_of_the_next_prompts_is_read():
-    """A first token comes a base time after its prompt was read.
+def test_first_token_accounts_for_prefill_during_the_base_time():
+    """A first token comes a base time after the prefill of its prompt.
 
-    The engine has read on in that time; a belief that begins the next prompt
-    only then keeps too little work at engines with a long base.
+    The engine prefills the next prompt in that time. An estimate that starts
+    the next prefill only at the first token gives too little work to engines
+    with a long base time.
     """
     engine = _engine()
     engine.start(_job("a", 5000), 0.0, ahead=0.0)
@@ -68,7 +69,7 @@
     assert round(engine.prefill_backlog(0.06)) == 2000
 
 
-def test_unread_counts_no_request_that_was_read_or_has_ended():
+def test_backlog_excludes_requests_that_are_prefilled_or_ended():
     engine = _engine()
     for key in ("a", "b", "c"):
         engine.start(_job(key, 1000), 0.0, ahead=0.0)
@@ -83,12 +84,12 @@
     assert engine.running == 0
 
 
-def test_first_token_tells_that_all_before_it_were_read():
-    """Guards against engines that stand empty for a late router (FAIR).
+def test_first_token_marks_earlier_requests_as_prefilled():
+    """Guards against engines left idle because of a lagging router (FAIR).
 
-    A router whose loop is late by a second reports a first token that much
-    later. Until then the engine seemed to read that prompt and got nothing,
-    though the first tokens of later requests had come from other routers.
+    A router whose event loop lags by a second reports a first token that much
+    later. Until then the engine seemed busy with that prompt and got no work,
+    though other routers had reported first tokens of later requests.
     """
     engine = _engine()
     engine.start(_job("a", 5000), 0.0, ahead=0.0)
@@ -102,12 +103,13 @@
     assert engine.running == 3
 
 
-def test_first_token_that_was_seen_late_teaches_nothing():
-    """Guards against taking a router's own delay for an engine's (FAIR).
+def test_first_token_observed_late_does_not_change_the_speed():
+    """Guards against attributing a router's own lag to an engine (FAIR).
 
-    On a flooded fleet two VMs saw first tokens 0.2 to 1.2 s late; the usual
-    error rose from 0.1 to 0.6, engines that read 7 microseconds a token
-    counted as reading 27, and half of what they could read was refused.
+    On an overloaded fleet two VMs observed first tokens 0.2 to 1.2 s late. The
+    mean error rose from 0.1 to 0.6, engines with a prefill time of 7
+    microseconds per token were estimated at 27, and half of the requests that
+    they could have served were refused.
     """
     engine = _engine()
     engine.start(_job("a", 5000), 0.0, ahead=0.0)
@@ -117,11 +119,11 @@
     assert engine.prefill_backlog(1.2) == 0.0
 
 
-def _flood_engine(rng, *, base, rate, requests):
-    """Send an engine all that its belief allows; return what was learned.
+def _overload_engine(rng, *, base, rate, requests):
+    """Send an engine all that its estimate allows; return the learned line.
 
-    The first hundred requests come one by one. The engine keeps a fifth of
-    the prompts though nobody knows.
+    The first hundred requests come one by one. The engine has a fifth of the
+    prompts cached, of which the estimate does not know.
     """
     service = reading_speed.ServiceSpeed(base=base, token_seconds=1.0 / rate)
     engine = engine_estimate.EngineEstimate(
@@ -149,19 +151,19 @@
     return service
 
 
-def test_line_holds_while_a_flood_keeps_engines_full():
-    """Guards against a line that the flood itself distorts (FAIR).
+def test_latency_line_stays_accurate_under_overload():
+    """Guards against positive feedback in the latency line (FAIR).
 
-    What lies ahead of a request is itself reckoned by the line. Under a flood
-    every request finds something ahead, so an error of the line fed on
-    itself: on a flooded fleet the time of a token fell from 11 to 0.1
-    microseconds within two seconds, engines got three times what they read,
-    then nothing for a second, and which organisation began was left to
-    chance. The host's lines "State of a service." showed it (``token_us``);
-    first tokens of idle engines in the same seconds still gave 11 to 19.
+    The backlog ahead of a request is itself estimated by the line, and under
+    overload every request finds a backlog, so that an error of the line
+    amplified itself. On an overloaded fleet the time per token (``token_us``
+    in the host's log lines "State of a service.") fell from 11 to 0.1
+    microseconds within two seconds, while first tokens of idle engines gave
+    11 to 19. Engines got three times what they could prefill, then nothing
+    for a second, and which organisation was served was left to chance.
     """
     for seed in range(4):
-        learned = _flood_engine(
+        learned = _overload_engine(
             random.Random(seed), base=0.06, rate=140_000.0, requests=1500
         )
         for tokens in (500, 3000, 8000):
--- a/packages/daisypick_core/tests/scheduling/test_engine_fleet.py
+++ b/packages/daisypick_core/tests/scheduling/test_engine_fleet.py
@@ -1,4 +1,4 @@
-"""Which engines may get work, and what is believed of them."""
+"""Engines that may get work, and their estimates."""
 
 from daisypick_core.scheduling import engine_fleet
 from daisypick_core.scheduling import job
@@ -35,7 +35,7 @@
     return fleet.start(work, server, 0.0, ahead=0.0, saved=0.0)
 
 
-def test_slots_and_requests_are_summed_as_they_change():
+def test_sums_of_slots_and_requests_follow_changes():
     fleet = _fleet(_state("e-0"), _state("e-1", slots=4))
     _start(fleet, "a", "e-0")
     _start(fleet, "b", "e-0")
@@ -48,7 +48,7 @@
     assert (fleet.slots, fleet.running) == (4, 0)
 
 
-def test_engine_that_drains_is_known_until_its_requests_have_ended():
+def test_draining_engine_keeps_its_estimate_until_its_requests_end():
     fleet = _fleet(_state("e-0"))
     _start(fleet, "a", "e-0")
     fleet.drop("e-0")
@@ -59,7 +59,7 @@
     assert (fleet.slots, fleet.running) == (8, 0)
 
 
-def test_engine_that_started_anew_runs_and_keeps_nothing():
+def test_restarted_engine_has_no_requests_and_an_empty_cache():
     fleet = _fleet(_state("e-0"))
     _start(fleet, "a", "e-0")
     fleet.put(_state("e-0", born=2))
--- a/packages/daisypick_core/tests/scheduling/test_fair_share.py
+++ b/packages/daisypick_core/tests/scheduling/test_fair_share.py
@@ -3,10 +3,10 @@
 from daisypick_core.scheduling import fair_share
 
 
-def test_organisations_that_ask_no_more_are_forgotten():
-    """Guards against sums over every organisation that ever asked.
+def test_organisations_without_recent_requests_are_dropped():
+    """Guards against levels computed over every organisation ever seen.
 
-    Each level went through all of them, ten times a second.
+    A level is computed ten times a second over all known organisations.
     """
     shares = fair_share.FairShare(window_seconds=4.0)
     shares.set_capacity(tokens_per_second=100.0)
@@ -19,7 +19,7 @@
     assert len(shares) == 0
 
 
-def test_what_lies_in_the_window_still_counts():
+def test_usage_counts_until_it_leaves_the_window():
     shares = fair_share.FairShare(window_seconds=4.0)
     shares.set_capacity(tokens_per_second=100.0)
     shares.add_demand("farm", 900.0, now=1.0)
--- a/packages/daisypick_core/tests/scheduling/test_fair_windows.py
+++ b/packages/daisypick_core/tests/scheduling/test_fair_windows.py
@@ -1,4 +1,4 @@
-"""Who was served least while others were served."""
+"""Organisations that were starved relative to the best served one."""
 
 from daisypick_core.scheduling import fair_windows
 
@@ -10,7 +10,7 @@
     return dict.fromkeys(range(count), second)
 
 
-def test_margin_is_what_it_got_against_half_of_the_best():
+def test_margin_compares_with_half_of_the_best_served():
     (served,) = fair_windows.find_least_served(
         {
             "farm": _seconds(6, asked=1000.0, got=95.0),
@@ -22,7 +22,7 @@
     assert served.margin == 0.5
 
 
-def test_who_asks_less_than_the_best_got_is_due_half_of_that():
+def test_entitlement_of_a_small_demand_is_half_of_the_demand():
     (served,) = fair_windows.find_least_served(
         {
             "farm": _seconds(6, asked=100.0, got=45.0),
@@ -32,14 +32,14 @@
     assert served.margin == 1.0
 
 
-def test_who_was_served_in_time_for_a_second_did_not_wait_through():
+def test_one_second_without_a_miss_ends_starvation():
     farm = _seconds(6, asked=1000.0, got=0.0)
     farm[3] = farm[3]._replace(missed=False)
     best = _seconds(6, asked=400.0, got=400.0, missed=False)
     assert fair_windows.find_least_served({"farm": farm, "best": best}) == []
 
 
-def test_worst_span_of_each_is_told_the_worst_one_first():
+def test_worst_span_of_each_organisation_is_listed_worst_first():
     farm = _seconds(12, asked=100.0, got=40.0)
     farm[11] = farm[11]._replace(got=0.0)
     found = fair_windows.find_least_served(
--- a/packages/daisypick_core/tests/scheduling/test_fleet_sizes.py
+++ b/packages/daisypick_core/tests/scheduling/test_fleet_sizes.py
@@ -1,9 +1,10 @@
-"""The same relative overload before fleets of 4 to 300 engines.
+"""The same relative overload on fleets of 4 to 300 engines.
 
-One organisation asks for one and a half times what the whole fleet can do,
-twenty others for half of it together. The platform counts on seven tenths of
-what the engines can do, so more than that is beyond shares. The scheduler plays
-against engines that read prompts in turn and keep a slot for some two seconds.
+One organisation demands one and a half times the capacity of the whole fleet,
+twenty others half of it together. The configured capacity is seven tenths of
+what the engines can do, so usage above that is over the shares. The scheduler
+runs against simulated engines that prefill prompts in turn and occupy a slot
+for about two seconds.
 """
 
 import collections
@@ -26,13 +27,13 @@
 _SMALL_ORGANISATIONS = 20
 _STATED_CAPACITY_SHARE = 0.7
 _TICK_SECONDS = 0.01
-# What is counted, after the fleet has filled.
+# Start of the measured period, after the fleet has filled.
 _SETTLED_SECONDS = 4.0
 _SIMULATED_SECONDS = 6.0
 
 
 class _Simulation:
-    """A scheduler, its engines and its callers, on a clock of their own."""
+    """A scheduler, its engines and its callers, on a simulated clock."""
 
     def __init__(self, engines):
         self._rng = random.Random(engines)
@@ -66,7 +67,7 @@
         self.refused = collections.Counter()
 
     def run(self):
-        """Play all of it."""
+        """Run the simulation to its end."""
         small = 0.5 * self.rate / _SMALL_ORGANISATIONS
         for number in range(_SMALL_ORGANISATIONS):
             self._schedule_request(0.0, f"small-{number}", small)
@@ -82,7 +83,7 @@
         heapq.heappush(self._events, (at, self._scheduled, callback, arguments))
 
     def _schedule_request(self, now, organisation, rate):
-        """Ask at random moments, ``rate`` times a second."""
+        """Submit at random times, ``rate`` times per second."""
         self._schedule(
             now + self._rng.expovariate(rate), self._submit, organisation, rate
         )
@@ -139,11 +140,11 @@
 
 
 @pytest.mark.parametrize("engines", [4, 37, 300])
-def test_overload_is_shared_alike_before_a_fleet_of_any_size(engines):
-    """Guards against decisions that fit one size of fleet only.
+def test_overload_is_shared_fairly_at_any_fleet_size(engines):
+    """Guards against decisions that suit only one size of fleet.
 
-    Engines do most of what they can, and organisations within their shares
-    do not notice the flood.
+    Engines are used to most of their capacity, and organisations within their
+    shares are neither refused nor delayed.
     """
     simulation = _Simulation(engines).run()
     possible = simulation.rate * (_SIMULATED_SECONDS - _SETTLED_SECONDS)
--- a/packages/daisypick_core/tests/scheduling/test_many_engines.py
+++ b/packages/daisypick_core/tests/scheduling/test_many_engines.py
@@ -1,4 +1,4 @@
-"""Decisions before more engines than one decision looks at."""
+"""Decisions with more engines than one decision examines."""
 
 import random
 
@@ -54,11 +54,12 @@
 
 
 @pytest.mark.parametrize("engines", [100, 1000, 3000])
-def test_decision_looks_at_a_bounded_number_of_engines(engines, monkeypatch):
-    """Guards against hosts that have no time for more than some engines.
+def test_decision_examines_a_bounded_number_of_engines(engines, monkeypatch):
+    """Guards against a time per decision that grows with the fleet.
 
-    With its first token and its end a request took 0.74 ms of processor before
-    37 engines, 1.8 ms before 75, 5.2 ms before 300; now 0.41, 0.30, 0.33 ms.
+    Examining all engines, a host spends 0.74 ms of processor time per request,
+    its first token and end included, with 37 engines, 1.8 ms with 75 and 5.2 ms
+    with 300; with a bounded sample 0.41, 0.30 and 0.33 ms.
     """
     calls = 0
     wait = engine_estimate.EngineEstimate.prefill_wait
@@ -78,7 +79,7 @@
     assert calls <= 100 * 60
 
 
-def test_request_finds_its_prompt_among_many_engines():
+def test_request_goes_to_its_cached_prompt_among_many_engines():
     scheduler = _make(500)
     first = _server(scheduler.submit(_job("a", TALK), 0.0))
     scheduler.note_first_token("a", 0.1)
@@ -92,7 +93,7 @@
 
 
 def test_last_free_slot_of_a_fleet_is_found():
-    """All engines are full but one, which a sample would hardly meet."""
+    """All engines but one are full; a random sample would rarely hit it."""
     scheduler = _make(100, slots=1)
     for number in range(99):
         now = 0.01 * number
--- a/packages/daisypick_core/tests/scheduling/test_organisation_tally.py
+++ b/packages/daisypick_core/tests/scheduling/test_organisation_tally.py
@@ -3,7 +3,7 @@
 from daisypick_core.scheduling import organisation_tally
 
 
-def test_rows_come_by_size_and_only_once():
+def test_rows_are_sorted_by_size_and_returned_once():
     tally = organisation_tally.OrganisationTally()
     tally.add("farm", asked=10.0)
     tally.add("flood", asked=30.0, refused=1)
@@ -15,7 +15,7 @@
     assert tally.take(9, by="asked") == []
 
 
-def test_greatest_value_is_kept():
+def test_maximum_of_the_values_is_kept():
     tally = organisation_tally.OrganisationTally()
     for size in (3.0, 9.0, 5.0):
         tally.note_most("farm", "largest", size)
--- a/packages/daisypick_core/tests/scheduling/test_placement.py
+++ b/packages/daisypick_core/tests/scheduling/test_placement.py
@@ -1,4 +1,4 @@
-"""Which open engine a request goes to."""
+"""Which available engine a request goes to."""
 
 from daisypick_core.scheduling import engine_estimate
 from daisypick_core.scheduling import job
@@ -63,11 +63,11 @@
     )
 
 
-def test_request_waits_for_the_busy_engine_that_keeps_its_prompt():
-    """The engine that keeps a long shared prompt is busy for a moment.
+def test_request_waits_for_the_busy_engine_that_has_its_prompt_cached():
+    """The engine that has a long shared prompt cached is busy for a moment.
 
-    Reading the prompt again elsewhere would cost 5,000 tokens of a fleet that
-    has none to spare; so the request waits, but only while it has time.
+    Prefill of the prompt elsewhere would cost 5,000 tokens of a fleet that has
+    no spare capacity; so the request waits, but only while it has time.
     """
     engines = _engines("e-0", "e-1")
     engines["e-1"].cache.begin([TALK])
@@ -76,7 +76,7 @@
     assert _choose(work, engines, busy=["e-1"], may_wait=False).server == "e-0"
 
 
-def test_request_does_not_wait_for_a_little_or_for_what_it_must_avoid():
+def test_request_waits_neither_for_a_short_prefix_nor_for_an_avoided_engine():
     engines = _engines("e-0", "e-1")
     short = job.Part(name="short", tokens=300)
     engines["e-1"].cache.begin([TALK, short])
@@ -86,7 +86,7 @@
     assert _choose(work, engines, busy=["e-1"]).server == "e-0"
 
 
-def test_request_does_not_wait_when_an_open_engine_keeps_the_prompt_too():
+def test_request_does_not_wait_if_an_available_engine_has_the_prompt_cached():
     engines = _engines("e-0", "e-1")
     for engine in engines.values():
         engine.cache.begin([TALK])
@@ -94,7 +94,7 @@
     assert _choose(work, engines, busy=["e-1"]).server == "e-0"
 
 
-def test_near_engine_goes_before_an_equal_one_elsewhere():
+def test_engine_in_the_own_data_centre_is_preferred_to_an_equal_one():
     engines = _engines("e-0", "e-1")
     data_centres = {"e-0": "b", "e-1": "a"}
     work = _job("x", prompt=400)
@@ -103,7 +103,7 @@
     assert _choose(work, engines, data_centres=data_centres).server == "e-0"
 
 
-def test_engine_elsewhere_that_keeps_the_prompt_goes_before_a_near_one():
+def test_cached_prompt_outweighs_the_own_data_centre():
     engines = _engines("e-0", "e-1")
     engines["e-0"].cache.begin([TALK])
     work = _job("x", TALK, prompt=5000)
@@ -111,12 +111,12 @@
     assert _choose(work, engines, data_centres=data_centres).server == "e-0"
 
 
-def test_request_goes_only_where_its_first_token_comes_in_time():
-    """Two prompts of one size, one engine with 0.3 s to read, one objective.
+def test_request_goes_only_where_its_first_token_meets_the_objective():
+    """An engine has a prefill backlog of 0.3 s.
 
-    Where the first token would come after its caller's objective a request
-    is not sent while it can still wait for a better place: the engine lets
-    in what arrives in order, and it would make others late as well.
+    A request is not sent where its first token would miss the objective while
+    it can still wait for a better engine: engines admit requests in the order
+    of arrival, so it would delay others as well.
     """
     engines = _engines("e-0")
     engines["e-0"].start(_job("before", prompt=30_000), 0.0, ahead=0.0)
@@ -126,10 +126,10 @@
     assert _choose(urgent, engines) is None
 
 
-def test_slow_engine_gets_what_is_in_time_there():
-    """One engine of a service turns ten times slower than the others.
+def test_slow_engine_gets_only_what_meets_its_objective_there():
+    """One engine of a service becomes ten times slower than the others.
 
-    A prompt that the others read in time would miss its objective there.
+    A prompt that the others prefill in time would miss its objective there.
     """
     engines = _engines("slow")
     engines["slow"].speed.factor = 10.0
@@ -138,28 +138,28 @@
     assert _choose(_job("y", prompt=4000), engines) is None
 
 
-def _read(engine, *parts):
+def _prefill(engine, *parts):
     engine.cache.begin(parts)
     engine.cache.mark_prefilled(parts)
     engine.cache.end(parts)
 
 
-def test_prompt_kept_by_a_busy_engine_is_copied_not_waited_for():
-    """The engine that keeps a long prompt is busy, another one is free.
+def test_prompt_cached_at_a_busy_engine_is_copied_without_waiting():
+    """The engine that has a long prompt cached is busy, another one is free.
 
-    Copying takes a tenth of the time of reading here, so the request starts
-    at once, and nothing is read twice.
+    Copying takes a tenth of the prefill time here, so the request starts at
+    once, and nothing is prefilled twice.
     """
     engines = _engines("e-0", "e-1")
-    _read(engines["e-1"], TALK)
+    _prefill(engines["e-1"], TALK)
     work = _job("x", TALK, job.Part(name="x", tokens=500), prompt=5500)
     chosen = _choose(work, engines, busy=["e-1"], copy_seconds=1e-6)
     assert (chosen.server, chosen.source, chosen.copied) == ("e-0", "e-1", 5000)
     assert round(chosen.saved) == 4500
 
 
-def test_prompt_that_is_still_being_read_is_not_copied():
-    """A part is on its way into an engine; there is nothing to copy yet."""
+def test_prompt_that_is_still_in_prefill_is_not_copied():
+    """A part is sent to an engine but not prefilled; it cannot be copied."""
     engines = _engines("e-0", "e-1")
     engines["e-1"].cache.begin([TALK])
     work = _job("x", TALK, job.Part(name="x", tokens=500), prompt=5500)
@@ -169,9 +169,9 @@
     assert (chosen.server, chosen.source, chosen.copied) == ("e-0", "", 0)
 
 
-def test_nothing_is_copied_over_a_link_slower_than_reading():
+def test_nothing_is_copied_over_a_link_slower_than_prefill():
     engines = _engines("e-0", "e-1")
-    _read(engines["e-1"], TALK)
+    _prefill(engines["e-1"], TALK)
     work = _job("x", TALK, prompt=5000)
     chosen = _choose(
         work, engines, busy=["e-1"], may_wait=False, copy_seconds=2e-5
@@ -179,10 +179,10 @@
     assert (chosen.source, chosen.copied) == ("", 0)
 
 
-def test_copy_comes_from_the_engine_with_the_least_to_do():
+def test_copy_source_is_the_engine_with_the_fewest_requests():
     engines = _engines("e-0", "e-1", "e-2")
     for name in ("e-1", "e-2"):
-        _read(engines[name], TALK)
+        _prefill(engines[name], TALK)
     engines["e-1"].start(_job("before", prompt=400), 0.0, ahead=0.0)
     work = _job("x", TALK, prompt=5000)
     chosen = _choose(work, engines, busy=["e-1", "e-2"], copy_seconds=1e-6)
--- a/packages/daisypick_core/tests/scheduling/test_prefix_cache.py
+++ b/packages/daisypick_core/tests/scheduling/test_prefix_cache.py
@@ -1,4 +1,4 @@
-"""Which parts of prompts an engine is believed to keep."""
+"""Estimate of the prompt parts in an engine's prefix cache."""
 
 from daisypick_core.scheduling import job
 from daisypick_core.scheduling import prefix_cache
@@ -7,7 +7,7 @@
 TALK = job.Part(name="talk", tokens=400)
 
 
-def test_part_counts_as_read_only_when_it_was_read():
+def test_part_counts_as_prefilled_only_after_its_prefill():
     cache = prefix_cache.PrefixCache(capacity=1000)
     cache.begin([SYSTEM, TALK])
     assert cache.count_cached([SYSTEM, TALK]) == 700
@@ -16,7 +16,7 @@
     assert cache.count_prefilled([SYSTEM, TALK]) == 700
 
 
-def test_dropped_part_is_not_read_any_more():
+def test_evicted_part_no_longer_counts_as_prefilled():
     cache = prefix_cache.PrefixCache(capacity=1000)
     for parts in ([SYSTEM], [job.Part(name="long", tokens=900)]):
         cache.begin(parts)
@@ -25,12 +25,12 @@
     assert cache.count_prefilled([SYSTEM]) == 0
 
 
-def test_prompt_that_was_given_up_unread_is_not_believed_to_be_kept():
-    """A caller leaves before its first token, alone with its long prompt.
+def test_prompt_abandoned_before_its_prefill_does_not_count_as_cached():
+    """The only caller with a long prompt disconnects before its first token.
 
-    Believed to be kept, the prompt would draw the next request to an engine
-    that has to read it from the start. What somebody else reads or has read
-    stays.
+    Counted as cached, the prompt would attract the next request to an engine
+    that has to prefill it from the start. Parts that other requests use or
+    have prefilled stay.
     """
     cache = prefix_cache.PrefixCache(capacity=1000)
     cache.begin([SYSTEM])
--- a/packages/daisypick_core/tests/scheduling/test_reading_speed.py
+++ b/packages/daisypick_core/tests/scheduling/test_reading_speed.py
@@ -1,4 +1,4 @@
-"""How long engines take to a first token."""
+"""Prediction of the time to first token."""
 
 import random
 
@@ -21,10 +21,10 @@
 
 
 def test_line_is_learned_for_engines_of_any_speed():
-    """Engines that read 5,000 to 300,000 tokens a second, from one start.
+    """Engines prefill 5,000 to 300,000 tokens per second, with one prior.
 
-    A bound that stands for one customer's engines makes those of another
-    late or idle; two hundred first tokens make the line, whatever they are.
+    Fixed constants that suit one kind of engine make others late or idle; two
+    hundred first tokens have to determine the line for each of them.
     """
     rng = random.Random(7)
     for rate in (5_000.0, 40_000.0, 300_000.0):
@@ -34,7 +34,7 @@
             assert _find_max_error(speed, base=base, rate=rate) < 0.15
 
 
-def test_change_of_speed_is_learned_again():
+def test_line_follows_a_change_of_speed():
     rng = random.Random(8)
     speed = reading_speed.ServiceSpeed()
     _train(speed, rng, base=0.01, rate=100_000.0, count=300)
@@ -42,11 +42,11 @@
     assert _find_max_error(speed, base=0.01, rate=25_000.0) < 0.2
 
 
-def test_lost_and_late_first_tokens_do_not_tilt_the_line():
-    """One first token of ten waits a second or more for a place in the batch.
+def test_outliers_do_not_distort_the_line():
+    """One first token of ten waits a second or more for a slot in the batch.
 
-    Taken as they are, they make tokens seem to take no time: the host then
-    sends an engine millions of tokens that it believes read at once.
+    Without a bound these outliers make a token seem to take no time, and the
+    host sends an engine millions of tokens at once.
     """
     rng = random.Random(9)
     speed = reading_speed.ServiceSpeed()
@@ -56,7 +56,7 @@
     assert _find_max_error(speed, base=0.05, rate=100_000.0) < 0.3
 
 
-def test_engine_that_turns_slow_is_known_after_a_few_first_tokens():
+def test_slow_engine_is_detected_after_a_few_first_tokens():
     rng = random.Random(10)
     service = reading_speed.ServiceSpeed(base=0.01, token_seconds=1e-5)
     slow, *sound = (
--- a/packages/daisypick_core/tests/scheduling/test_scheduler.py
+++ b/packages/daisypick_core/tests/scheduling/test_scheduler.py
@@ -63,7 +63,7 @@
     ]
 
 
-def test_request_goes_where_its_prompt_is_kept():
+def test_request_goes_where_its_prompt_is_cached():
     scheduler = _make()
     talk = (job.Part(name="talk", tokens=900), job.Part(name="x", tokens=100))
     (first,) = _servers(scheduler.submit(_job("a", parts=talk), 0.0))
@@ -82,10 +82,10 @@
     assert len(used) == 4
 
 
-def test_least_served_organisation_goes_first():
-    """A flood of one organisation waits for a full engine.
+def test_organisation_with_least_usage_goes_first():
+    """Many requests of one organisation wait for a full engine.
 
-    Another organisation's first request comes last and starts next.
+    Another organisation's first request arrives last and starts next.
     """
     scheduler = _make(servers=1, slots=1)
     scheduler.submit(_job("flood-0", organisation="flood"), 0.0)
@@ -109,13 +109,14 @@
     ]
 
 
-def test_flood_beyond_its_share_is_refused_at_once_when_engines_are_busy():
-    """The fleet makes 1,000 tokens a second, and one floods a busy engine.
+def test_requests_over_a_share_are_refused_at_once_when_engines_are_busy():
+    """One organisation overloads a busy engine beyond its share.
 
-    So many of its requests wait as may still start; the rest is refused at
-    once, with a time to come back and a pause in which routers need not ask.
-    The small organisation beside it is served, and none that waits starts
-    while no capacity is spare.
+    The fleet's capacity is 1,000 tokens per second. Only as many of its
+    requests wait as may still start; the rest is refused at once, with a retry
+    delay and a pause in which routers need not submit more. A small
+    organisation is still served, and no waiting request over the share starts
+    without spare capacity.
     """
     scheduler = _make(servers=1, slots=4)
     scheduler.shares.set_capacity(tokens_per_second=1000.0)
@@ -131,11 +132,11 @@
 
 
 def test_no_request_is_refused_while_engines_have_room():
-    """Two large organisations ask for more than their even shares.
+    """Two large organisations demand more than their shares.
 
     One of them found a busy engine a moment ago. Engines have room again, and
-    what the other asks beyond its share starts: nothing is held back for the
-    sake of evenness while nobody waits.
+    requests of the other start over its share: fairness holds back no request
+    while no other one waits.
     """
     scheduler = _make(servers=2, slots=64, kv_tokens=10_000_000)
     scheduler.shares.set_capacity(tokens_per_second=1000.0)
@@ -154,8 +155,8 @@
         scheduler.note_first_token(f"b-{n}", now + 0.005)
 
 
-def test_spare_capacity_goes_to_whoever_began_less():
-    """Both are beyond their shares and wait; one of them began far more."""
+def test_spare_capacity_goes_to_the_organisation_with_less_usage():
+    """Two organisations over their shares wait; one has far more usage."""
     scheduler = _make(servers=1, slots=4, kv_tokens=10_000_000)
     scheduler.shares.set_capacity(tokens_per_second=10.0)
     for n in range(3):
@@ -178,7 +179,7 @@
         assert _servers(decided) == ["e-0"]
 
 
-def test_what_waits_too_long_is_refused_with_a_time_to_come_back():
+def test_request_that_waits_too_long_is_refused_with_a_retry_delay():
     scheduler = _make(servers=1, slots=1)
     scheduler.submit(_job("a"), 0.0)
     scheduler.submit(_job("b"), 0.0)
@@ -188,12 +189,12 @@
     assert refused.retry_after > 0.0
 
 
-def test_request_whose_prompt_leaves_no_time_is_refused_as_soon_as_that_is_so():
-    """A long and a short prompt wait for a full engine, one objective.
+def test_request_is_refused_as_soon_as_its_prefill_misses_the_objective():
+    """An uncached and a cached long prompt wait for a full engine.
 
-    Reading the long one takes 0.3 s of the 0.5; after 0.2 s it cannot be in
-    time any more, and its caller is told then. What an engine keeps of a
-    prompt does not count.
+    Prefill of the uncached one takes 0.3 s of its objective of 0.5 s; after
+    0.2 s it can no longer meet the objective and is refused. Tokens that an
+    engine has cached do not count.
     """
     scheduler = _make(servers=1, slots=1, kv_tokens=1_000_000)
     talk = job.Part(name="talk", tokens=29_000)
@@ -206,12 +207,12 @@
     assert [refused.key for refused in scheduler.tick(0.31)] == ["kept"]
 
 
-def test_flood_that_waits_too_late_makes_room_for_what_is_in_time():
-    """An organisation floods busy engines; as many of it wait as may.
+def test_request_that_can_meet_its_objective_displaces_one_that_cannot():
+    """An organisation overloads busy engines and reaches its queue limit.
 
-    When these are too late for any engine, a new request of it is in time.
-    It takes the place of one of them, whose caller is told at once; refused
-    instead, the organisation would get nothing while others are served.
+    Its waiting requests can no longer meet their objective, but a new one can.
+    It displaces one of them, which is refused at once. If the new one were
+    refused, the organisation would get nothing while others are served.
     """
     scheduler = _make(servers=1, slots=1)
     scheduler.shares.set_capacity(tokens_per_second=100.0)
@@ -231,12 +232,12 @@
     ]
 
 
-def test_requests_that_are_too_late_do_not_keep_later_ones_waiting():
-    """Long prompts wait for an engine that reads another, then a short one.
+def test_requests_that_miss_their_objective_do_not_block_later_ones():
+    """Long prompts and then a short one wait for an engine in prefill.
 
-    When there is room again the long ones cannot be in time any more behind
-    what the engine still reads, and the look at an organisation ends after
-    three. The short one is in time and starts.
+    When there is room again the long ones can no longer meet their objective
+    behind the engine's backlog, and only three requests of an organisation are
+    examined. The short one can and starts.
     """
     scheduler = _make(servers=1, slots=8, kv_tokens=10_000_000)
     for name in ("first", "b", "c", "d", "e"):
@@ -248,8 +249,8 @@
     assert "short" in _keys(decided)
 
 
-def test_engine_gets_no_more_than_it_can_read_in_time():
-    """Long prompts arrive at once: an engine gets as many as it can begin."""
+def test_engine_gets_no_more_than_it_can_prefill_in_time():
+    """Long prompts arrive at once; only what fits the backlog limit starts."""
     scheduler = _make(servers=1, slots=64, kv_tokens=10_000_000)
     started = [
         scheduler.submit(_job(f"a{n}", prompt=4000), 0.0) for n in range(10)
@@ -258,7 +259,7 @@
 
 
 def test_running_requests_fit_into_memory():
-    """An engine whose memory runs out throws a running request out of it."""
+    """An engine that runs out of memory preempts a running request."""
     scheduler = _make(servers=1, slots=64, kv_tokens=10_000)
     started = [
         scheduler.submit(_job(f"a{n}", prompt=2000, now=float(n)), float(n))
@@ -267,8 +268,8 @@
     assert sum(len(_servers(decided)) for decided in started) == 4
 
 
-def test_cold_engine_gets_a_routers_part_of_what_it_bears():
-    """A cold engine bears 20 requests a second from five routers together."""
+def test_cold_engine_gets_no_more_than_a_routers_quota():
+    """A cold engine handles 20 requests per second of five routers together."""
     scheduler = _make(servers=0)
     scheduler.set_servers([_state("e-0", slots=64, cold_until=10.0)])
     started = [
@@ -277,7 +278,7 @@
     assert sum(len(_servers(decided)) for decided in started) == 4
 
 
-def test_engine_that_is_down_gets_nothing_for_a_while():
+def test_engine_that_is_down_is_ejected_for_a_while():
     scheduler = _make()
     (server,) = _servers(scheduler.submit(_job("a"), 0.0))
     scheduler.note_failure("a", 0.0, certain=True)
@@ -286,7 +287,7 @@
         assert other != server
 
 
-def test_engine_that_started_anew_keeps_nothing():
+def test_restarted_engine_has_an_empty_cache():
     scheduler = _make(servers=1)
     talk = (job.Part(name="talk", tokens=900),)
     scheduler.submit(_job("a", prompt=900, parts=talk), 0.0)
@@ -297,7 +298,7 @@
     assert start.kept == 0
 
 
-def test_router_that_decides_alone_uses_its_part():
+def test_router_that_decides_locally_uses_its_share():
     scheduler = _make(servers=1, slots=10, share=0.2)
     started = [
         scheduler.submit(_job(f"a{n}", prompt=10), 0.0) for n in range(10)
@@ -305,7 +306,7 @@
     assert sum(len(_servers(decided)) for decided in started) == 2
 
 
-def test_no_server_is_refused_at_once():
+def test_request_is_refused_at_once_without_servers():
     (refused,) = _make(servers=0).submit(_job("a"), 0.0)
     assert isinstance(refused, actions.Refuse)
 
@@ -318,10 +319,10 @@
     assert scheduler.note_end("a", 0.2) == []
 
 
-def test_places_of_requests_whose_router_is_gone_become_free():
-    """A router dies and never tells that its request has ended.
+def test_slots_of_requests_whose_router_crashed_are_released():
+    """A router crashes and never reports that its request has ended.
 
-    After the caller's deadline the place is free for others.
+    After the caller's deadline the slot is released for others.
     """
     scheduler = _make(servers=1, slots=1)
     scheduler.submit(_job("a"), 0.0)
@@ -330,12 +331,12 @@
     assert _servers(scheduler.expire(9.1)) == ["e-0"]
 
 
-def test_flood_of_waiting_requests_costs_a_bounded_look(monkeypatch):
-    """Thirty organisations flood full engines with two thousand requests.
+def test_cost_of_dispatching_is_bounded_under_overload(monkeypatch):
+    """Thirty organisations send two thousand requests to full engines.
 
-    A host that looks at every waiting request at each event has no time
-    left to say anything: its callers wait to their deadlines. The looks stay
-    proportional to time, not to the flood.
+    A host that examines every waiting request at each event has no time left
+    to respond, and its callers wait until their deadlines. The number of
+    requests examined has to be proportional to time, not to the queue.
     """
     calls = 0
     count_cached = prefix_cache.PrefixCache.count_cached
@@ -355,11 +356,11 @@
     assert calls < 60_000
 
 
-def test_spare_capacity_does_not_go_to_the_same_few():
-    """Two organisations flood a fleet that has more capacity than it says.
+def test_spare_capacity_is_shared_evenly():
+    """Two organisations overload a fleet with more than its stated capacity.
 
-    One of them asks ten times as often. While the other is refused, neither
-    gets more than twice what the other gets.
+    One of them submits ten times as often as the other. It gets less than
+    twice what the other gets.
     """
     scheduler = _make(servers=2, slots=20, kv_tokens=10_000_000)
     scheduler.shares.set_capacity(tokens_per_second=2000.0)
@@ -385,12 +386,12 @@
     assert begun["eager"] < 2 * begun["modest"]
 
 
-def test_requests_whose_ends_were_not_heard_do_not_keep_engines_closed():
+def test_reconcile_releases_requests_whose_ends_were_lost():
     """A router's connection to the host breaks while its requests run.
 
-    Their first tokens and ends are told to nobody. When it connects again it
-    tells what still runs; the engine is open again at once, not when the
-    callers' deadlines have passed.
+    Their first tokens and ends are not reported. When the router reconnects it
+    reports what still runs; the engine is available again at once, not after
+    the callers' deadlines.
     """
     scheduler = _make(servers=1, slots=4, kv_tokens=10_000_000)
     for n in range(3):
@@ -404,19 +405,20 @@
     assert _keys(decided) == ["b"]
     (engine,) = scheduler.describe(1.01)
     assert engine["running"] == 4
-    # 9,000 of "b", and 2,900 of "a2" and "other": 7,000 of 9,900 tokens are
-    # read when the first token of "a1" is due, and then it is overdue.
+    # 9,000 tokens of "b", and 2,900 of "a2" and "other": 7,000 of their 9,900
+    # are prefilled when the first token of "a1" is due; from then on the
+    # backlog does not shrink.
     assert engine["unread"] == 11_900
 
 
-def test_starts_that_are_told_again_do_not_count_again():
-    """Guards against starving whose router connects again (FAIR).
+def test_starts_that_are_reported_again_do_not_count_again():
+    """Guards against starvation after a router reconnects (FAIR).
 
-    The router of a flooded VM took its host for silent and connected again,
-    and told what it had started lately, some hundred requests, most of which
-    the host had decided itself. All counted once more against their
-    organisation's share: the host refused with "4339892 tokens begun of
-    465364" while it had begun 300,000, so whoever had got least went last.
+    The router of an overloaded VM considered its host silent, reconnected and
+    reported some hundred recent starts, most of which the host had decided
+    itself. All of them counted again towards their organisation's share: the
+    host refused with "4339892 tokens begun of 465364" at a real usage of
+    300,000, so the organisation that had got least went last.
     """
     scheduler = _make(servers=2, slots=64, kv_tokens=10**6)
     started = [_job(f"flood-{n}", organisation="flood") for n in range(20)]
