--- a/packages/daisypick_core/src/daisypick_core/scheduling/hosts.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/hosts.py
@@ -1,11 +1,11 @@
 """Which router hosts the scheduler of a service.
 
-Every router works it out by itself from the routers that it believes to be
-alive: those with the most processor first, as a host decides for the whole
-service beside its own callers; among equals by rendezvous hashing, so that a
-router that goes moves only the services that it hosted. Two routers that
-believe differently ask different hosts for a while, which costs some waste
-but breaks no promise.
+Every router computes this by itself from the routers that it considers alive:
+those with the most processor cores first, as a host decides for the whole
+service in addition to serving its own callers; among equals by rendezvous
+hashing, so that a router that leaves moves only the services that it hosted.
+Two routers with different views use different hosts for a while, which wastes
+some capacity but violates no guarantee.
 
 Examples:
     >>> routers = {"a": 0.4, "b": 0.4, "c": 0.4, "big": 2.2}
@@ -20,30 +20,30 @@
 from collections.abc import Mapping
 import hashlib
 
-# Processors that differ by less than this part of a core count as equal; two
-# VMs of one kind are told figures that differ in the second digit.
-_POWER_STEP = 0.25
+# Granularity, in cores, at which routers are compared: two VMs of one kind
+# report figures that differ in the second digit and should count as equal.
+_CORES_STEP = 0.25
 
 
-def _weigh(service: str, router: str) -> bytes:
+def _hash_weight(service: str, router: str) -> bytes:
     text = f"{service}\0{router}".encode()
     return hashlib.blake2b(text, digest_size=8).digest()
 
 
 def order_hosts(
-    service: str, power_by_router: Mapping[str, float]
+    service: str, cores_by_router: Mapping[str, float]
 ) -> list[str]:
     """Return the routers in the order in which they host a service.
 
     Args:
         service: Name of the service.
-        power_by_router: Cores that each router's process may use.
+        cores_by_router: Cores that each router's process may use.
     """
     return sorted(
-        power_by_router,
+        cores_by_router,
         key=lambda router: (
-            -round(power_by_router[router] / _POWER_STEP),
-            _weigh(service, router),
+            -round(cores_by_router[router] / _CORES_STEP),
+            _hash_weight(service, router),
             router,
         ),
     )
--- a/packages/daisypick_core/src/daisypick_core/scheduling/recent_holders.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/recent_holders.py
@@ -1,10 +1,10 @@
 """Which engine was last sent a part of a prompt.
 
-Before many engines a scheduler does not go through the memory of each for
-every request; this names one that surely had the part a moment ago.
+With many engines a scheduler does not search the prefix cache of each one for
+every request; this index names an engine that had the part a moment ago.
 
 Examples:
-    >>> holders = RecentHolders(most=2)
+    >>> holders = RecentHolders(max_parts=2)
     >>> talk, other = job.Part("talk", 900), job.Part("other", 10)
     >>> holders.note([talk, other], "e-0"); holders.note([talk], "e-1")
     >>> holders.find([talk, other])
@@ -21,25 +21,25 @@
 
 
 class RecentHolders:
-    """Servers by part, the least recently noted part first.
+    """Servers by part, the least recently used part first.
 
     Args:
-        most: Parts that are remembered.
+        max_parts: Upper bound of the parts that are remembered.
     """
 
-    def __init__(self, *, most: int) -> None:
-        self._most = most
+    def __init__(self, *, max_parts: int) -> None:
+        self._max_parts = max_parts
         self._server_by_part: dict[str, str] = {}
 
     def note(self, parts: Iterable[job.Part], server: str) -> None:
-        """A request with these parts was sent to a server."""
+        """Record that a request with these parts was sent to a server."""
         for part in parts:
             self._server_by_part.pop(part.name, None)
             self._server_by_part[part.name] = server
-        while len(self._server_by_part) > self._most:
+        while len(self._server_by_part) > self._max_parts:
             del self._server_by_part[next(iter(self._server_by_part))]
 
     def find(self, parts: Sequence[job.Part]) -> list[str]:
-        """Return servers that had a part, of the last part first."""
+        """Return the last server of each part, starting with the last part."""
         found = (self._server_by_part.get(part.name) for part in parts[::-1])
         return [server for server in found if server is not None]
