--- a/packages/daisypick_router/tests/test_log.py
+++ b/packages/daisypick_router/tests/test_log.py
@@ -1,4 +1,4 @@
-"""Which log lines are left out, and that they are counted."""
+"""Which log lines are dropped, and that they are counted."""
 
 import json
 import os
@@ -23,15 +23,15 @@
     return [json.loads(line) for line in b"".join(written).splitlines()]
 
 
-def test_flood_of_requests_does_not_hide_what_the_process_believes(
+def test_load_spike_does_not_hide_lines_about_the_process(
     monkeypatch,
 ):
-    """A flood fills the bound of lines in its second.
+    """Guards against a load spike that drops the line which explains it.
 
-    Lines of requests beyond it are left out and counted; that the process is
-    overloaded, which explains them, is written.
+    Lines about requests beyond the limit per second are dropped and counted;
+    the line that the process is overloaded is written.
     """
-    # All within one second of the clock, as the bound is one a second.
+    # All lines fall into one second, since the limit applies per second.
     monkeypatch.setattr(logs.time, "time", lambda: 1000.5)
     log = logs.Log(process="r-1")
     for number in range(1000):
