--- a/packages/daisypick_router/src/daisypick_router/host_links.py
+++ b/packages/daisypick_router/src/daisypick_router/host_links.py
@@ -1,8 +1,8 @@
 """Connections to the routers that may host schedulers or watch the store.
 
-For every service, and for the platform's store, routers stand in an order that
-each works out for itself. The first ones of each order are *candidates*, and a
-connection is kept to them, so that another one can be asked at once.
+Each router computes an order of all routers for every service and for the
+platform's store. The first routers of each order are its *candidates*. A
+connection to each candidate is kept open, so that failover is immediate.
 """
 
 from collections.abc import Callable
@@ -20,23 +20,28 @@
 from daisypick_router import peer_messages
 from daisypick_router import store_feed
 
-# How many candidates of an order a router keeps connections to.
-_CANDIDATES = 2
-_WATCH_SECONDS = 0.05
-# A watch that wakes so late tells of our own processor, not of a host: what
-# the host said may lie unread. Links that were given up for that filled the
-# host's belief with requests whose ends it never heard of.
+# Number of candidates for each service.
+_CANDIDATE_COUNT = 2
+_CHECK_SECONDS = 0.05
+# If the check wakes this late, the delay is in this process, not in a host,
+# whose heartbeats may be waiting unread. Links must not be closed for that: a
+# host would keep requests in its state whose ends it was never sent.
 _STALLED_SECONDS = 0.15
-# Stands for the platform's store in the orders: the first router in this one
-# watches the store, and the others hear of changes by a tree below it. No
-# service has this name.
-_STORE = "/store"
+# Name of the store in ``order_hosts``: the first router in its order watches
+# the store, and the others form a tree below it. No service has this name.
+_STORE_ORDER_KEY = "/store"
 
 
 class HostLinks:
-    """Links by router, and which router passes on the store's changes.
+    """Links by router, and the source of the store's changes.
 
-    ``on_up(link)`` is called when a connection stands.
+    ``on_up(link)`` is called when a connection is established.
+
+    Attributes:
+        feed_source: Link to the router that forwards the store's changes, or
+            ``None`` if this router watches the store itself.
+        leaving: Whether this process is stopping, so that other routers should
+            take over as hosts.
     """
 
     def __init__(
@@ -60,39 +65,38 @@
         self._link_by_name: dict[str, peer_link.PeerLink] = {}
         self._services: set[str] = set()
         self._candidates_by_service: dict[str, list[str]] = {}
-        # Routers to hear the store's changes from, the first choice first.
-        self._sources: list[str] = []
-        # Position of its entry when a router said that it stops. Its next
-        # process writes another one.
-        self._left_position_by_name: dict[str, positions.Position] = {}
-        self.followed: peer_link.PeerLink | None = None
-        # Whether our process stops, and another should host what we host.
+        # Routers to receive the store's changes from, in order of preference.
+        self._feed_sources: list[str] = []
+        # Position of a router's entry when it announced its stop. Its next
+        # process writes the entry at a new position.
+        self._stopping_position_by_name: dict[str, positions.Position] = {}
+        self.feed_source: peer_link.PeerLink | None = None
         self.leaving = False
 
     def start(self) -> None:
-        """Begin to watch for silent hosts."""
-        gevent.spawn(self._watch)
+        """Start checking hosts for missing heartbeats."""
+        gevent.spawn(self._run_checks)
 
     def update(self) -> None:
-        """Take the routers from the membership and connect to candidates."""
+        """Recompute candidates from the membership and connect to them."""
         members = self._membership.member_by_name
         power_by_router = {
             name: member.power
             for name, member in members.items()
-            if self._left_position_by_name.get(name) != member.position
+            if self._stopping_position_by_name.get(name) != member.position
         }
         power_by_router[self._name] = self._power
         wanted: set[str] = set()
         for service in self._services:
             order = hosts.order_hosts(service, power_by_router)
-            self._candidates_by_service[service] = order[:_CANDIDATES]
-            wanted.update(order[:_CANDIDATES])
-        order = hosts.order_hosts(_STORE, power_by_router)
-        self._sources = relay_tree.find_sources(order, self._name)
-        wanted.update(self._sources)
+            self._candidates_by_service[service] = order[:_CANDIDATE_COUNT]
+            wanted.update(order[:_CANDIDATE_COUNT])
+        order = hosts.order_hosts(_STORE_ORDER_KEY, power_by_router)
+        self._feed_sources = relay_tree.find_sources(order, self._name)
+        wanted.update(self._feed_sources)
         wanted.discard(self._name)
         for name, link in list(self._link_by_name.items()):
-            # One that stops still decides what waits there.
+            # A stopping host still decides the requests that wait there.
             if name not in wanted and not (link.leaving and link.is_connected):
                 self._link_by_name.pop(name).stop()
         for name in wanted - self._link_by_name.keys():
@@ -105,90 +109,90 @@
             own_name=self._name,
             log=self._log,
             rng=self._rng,
-            on_up=self._greet,
-            on_feed=self._feed.take,
-            on_leaving=self._note_leaving,
+            on_up=self._handle_connect,
+            on_feed=self._feed.receive,
+            on_leaving=self._handle_leaving,
         )
         self._link_by_name[member.name] = link
         link.start()
 
-    def _note_leaving(self, link: peer_link.PeerLink) -> None:
-        """Take the next router into the order in place of one that stops.
+    def _handle_leaving(self, link: peer_link.PeerLink) -> None:
+        """Replace a router that is stopping by the next one in the order.
 
-        In a series of stops the second candidate may be gone as well, and
-        routers that knew of no other decided alone for seconds.
+        In a rolling restart the second candidate may be down as well. Without
+        a third, routers would decide locally for seconds.
         """
         member = self._membership.member_by_name.get(link.name)
         if member is not None:
-            self._left_position_by_name[link.name] = member.position
+            self._stopping_position_by_name[link.name] = member.position
             self.update()
 
     def find_link(self, router: str) -> peer_link.PeerLink | None:
-        """Return the link to a router, if we keep one."""
+        """Return the link to a router, if there is one."""
         return self._link_by_name.get(router)
 
     def find_candidates(self, service: str) -> list[str]:
-        """Return the routers that may host a service, the first one first."""
+        """Return the candidate hosts of a service in order of preference."""
         if service not in self._services:
             self._services.add(service)
             self.update()
         return self._candidates_by_service[service]
 
     def find_host(self, service: str) -> str | None:
-        """Return the first candidate that can be asked; it may be us."""
-        ours = None
+        """Return the first available candidate, which may be this router."""
+        own_candidate = None
         for name in self.find_candidates(service):
             link = self._link_by_name.get(name)
             if name == self._name:
-                ours = name
+                own_candidate = name
                 if not self.leaving:
                     return name
-            elif link is not None and link.is_up:
+            elif link is not None and link.is_available:
                 return name
-        return ours
+        return own_candidate
 
-    def _greet(self, link: peer_link.PeerLink) -> None:
-        if self.followed is link:
-            self.followed = None
+    def _handle_connect(self, link: peer_link.PeerLink) -> None:
+        if self.feed_source is link:
+            self.feed_source = None
             self._feed.is_following = False
-        self._choose_followed()
+        self._choose_feed_source()
         self._on_up(link)
 
-    def _choose_followed(self) -> None:
-        """Follow the first router that can pass on the store's changes."""
-        followed = None
-        if self._membership.routers >= store_feed.LEAST_ROUTERS:
-            followed = self._find_followed()
-        if followed is self.followed:
+    def _choose_feed_source(self) -> None:
+        """Follow the first connected router that can be the feed source."""
+        feed_source = None
+        if self._membership.routers >= store_feed.MIN_ROUTERS:
+            feed_source = self._find_feed_source()
+        if feed_source is self.feed_source:
             return
-        if self.followed is not None:
-            self.followed.tell(peer_messages.Follow(wanted=False))
-        self.followed = followed
-        self._feed.is_following = followed is not None
-        if followed is not None:
-            followed.tell(peer_messages.Follow(wanted=True))
+        if self.feed_source is not None:
+            self.feed_source.tell(peer_messages.Follow(wanted=False))
+        self.feed_source = feed_source
+        self._feed.is_following = feed_source is not None
+        if feed_source is not None:
+            feed_source.tell(peer_messages.Follow(wanted=True))
         self._log.write(
             "store",
-            "Another router passes on changes."
-            if followed
-            else "We watch the store ourselves.",
-            router=followed.name if followed else None,
+            "Receiving changes from another router."
+            if feed_source
+            else "Watching the store directly.",
+            router=feed_source.name if feed_source else None,
         )
 
-    def _find_followed(self) -> peer_link.PeerLink | None:
-        for name in self._sources:
+    def _find_feed_source(self) -> peer_link.PeerLink | None:
+        for name in self._feed_sources:
             link = self._link_by_name.get(name)
             if link is not None and link.is_connected:
                 return link
         return None
 
-    def _watch(self) -> None:
+    def _run_checks(self) -> None:
         while True:
             slept_at = time.monotonic()
-            gevent.sleep(_WATCH_SECONDS)
+            gevent.sleep(_CHECK_SECONDS)
             now = time.monotonic()
             if now - slept_at > _STALLED_SECONDS:
                 continue
             for link in list(self._link_by_name.values()):
                 link.watch_silence(now)
-            self._choose_followed()
+            self._choose_feed_source()
--- a/packages/daisypick_router/src/daisypick_router/peer_host.py
+++ b/packages/daisypick_router/src/daisypick_router/peer_host.py
@@ -1,8 +1,9 @@
-"""The scheduler's side of the routers' connections.
+"""The host's side of the connections between routers.
 
-Any router may be asked to host a service; it decides with what the askers
-tell it. While something waits, the host says twice a tenth of a second that
-it lives, so that an asker notices soon when it does not.
+Any router may become the host of a service's scheduler. It decides on the
+basis of what the requesting routers report. While a request of a router waits,
+the host sends that router a heartbeat every 50 ms, so that a failed host is
+detected quickly.
 """
 
 import time
@@ -21,16 +22,16 @@
 from daisypick_router import peer_messages
 from daisypick_router import store_feed
 
-BEAT_SECONDS = 0.05
-# Time for a router whose connection ended to connect again: three of its
-# tries. A process that was killed is back after about a second.
-_GONE_SECONDS = 1.0
+HEARTBEAT_SECONDS = 0.05
+# Time that a disconnected router has to reconnect: about three of its
+# attempts. A process that was killed runs again after about 1 s.
+_RECONNECT_GRACE_SECONDS = 1.0
 
 handler_by_type: dict[type, typing.Callable[..., None]] = {}
 
 
 def handles(message: type) -> typing.Callable:
-    """Register a method for a kind of message."""
+    """Register a method as the handler of a message type."""
 
     def _add(method: typing.Callable) -> typing.Callable:
         handler_by_type[message] = method
@@ -40,7 +41,7 @@
 
 
 class PeerHost:
-    """Serves the routers that ask us."""
+    """Serves the routers that submit requests to this host."""
 
     def __init__(
         self,
@@ -61,14 +62,15 @@
         self._leaving = False
 
     def start(self) -> None:
-        """Begin to tell askers that we live."""
-        gevent.spawn(self._beat)
+        """Start sending heartbeats."""
+        gevent.spawn(self._send_heartbeats)
 
     def leave(self) -> None:
-        """Tell askers that we stop; what waits here is still decided here.
+        """Announce the stop; requests that wait here are still decided here.
 
-        A host that stops lives on while its callers' answers end, and asked
-        by some routers only it fills engines beside the next host.
+        A stopping host stays up until its callers' responses end. If only some
+        routers still submitted to it, it would fill engines without
+        coordinating with the next host.
         """
         self._leaving = True
         for channel in list(self._waiting_by_channel):
@@ -78,35 +80,42 @@
         """Serve one router's connection."""
         del address
         channel = peer_channel.PeerChannel(
-            socket=socket, on_message=self._hear, on_bad=self._note_bad
+            socket=socket,
+            on_message=self._receive,
+            on_invalid=self._log_invalid,
         )
         self._waiting_by_channel[channel] = set()
         try:
             channel.run()
         finally:
             self._waiting_by_channel.pop(channel, None)
-            self._feed.drop_follower(channel)
+            self._feed.remove_follower(channel)
             router = self._router_by_channel.pop(channel, None)
             if router is not None:
-                gevent.spawn_later(_GONE_SECONDS, self._forget_if_gone, router)
-
-    def _forget_if_gone(self, router: str) -> None:
-        """Forget what a router runs that did not connect again.
-
-        Its process was killed, and engines drop requests whose connections
-        end; or it is cut off from us and starts requests by its own part.
+                gevent.spawn_later(
+                    _RECONNECT_GRACE_SECONDS,
+                    self._forget_if_disconnected,
+                    router,
+                )
+
+    def _forget_if_disconnected(self, router: str) -> None:
+        """Forget the running requests of a router that did not reconnect.
+
+        Either its process was killed, and engines drop requests whose
+        connections end; or it cannot reach this host and starts requests
+        within its own share of the capacity.
         """
         if router in self._router_by_channel.values():
             return
-        self._log.write("peer", "A router did not come back.", router=router)
+        self._log.write("peer", "A router did not reconnect.", router=router)
         self._engines.reconcile(
             router, running=frozenset(), reading=frozenset()
         )
 
-    def _note_bad(self, trouble: failure.Failure) -> None:
-        self._log.write("peer", "Bad message.", reason=trouble.reason)
+    def _log_invalid(self, error: failure.Failure) -> None:
+        self._log.write("peer", "Invalid message.", reason=error.reason)
 
-    def _hear(
+    def _receive(
         self, channel: peer_channel.PeerChannel, message: typing.Any
     ) -> None:
         self.take(channel, message)
@@ -129,7 +138,7 @@
         return service
 
     @handles(peer_messages.Hello)
-    def _greet(
+    def _handle_hello(
         self, channel: peer_channel.PeerChannel, message: peer_messages.Hello
     ) -> None:
         self._router_by_channel[channel] = message.router
@@ -137,16 +146,16 @@
             channel.send(peer_messages.Leaving())
 
     @handles(peer_messages.Follow)
-    def _follow(
+    def _handle_follow(
         self, channel: peer_channel.PeerChannel, message: peer_messages.Follow
     ) -> None:
         if message.wanted:
             self._feed.add_follower(channel)
         else:
-            self._feed.drop_follower(channel)
+            self._feed.remove_follower(channel)
 
     @handles(peer_messages.Submit)
-    def _submit(
+    def _handle_submit(
         self, channel: peer_channel.PeerChannel, message: peer_messages.Submit
     ) -> None:
         service = self._find_service(message.service)
@@ -164,15 +173,16 @@
         def _deliver(action: actions.Action) -> None:
             waiting.discard(action.key)
             if channel.closed and isinstance(action, actions.Start):
-                # The asker is gone before it heard; nothing was started.
+                # The router disconnected before it received the decision, so
+                # it did not start the request.
                 gevent.spawn(self._engines.note_end, service, action.key)
                 return
-            channel.send(_write_action(action))
+            channel.send(_to_message(action))
 
         self._engines.submit(service, work, _deliver)
 
     @handles(peer_messages.Running)
-    def _note_running(
+    def _handle_running(
         self, channel: peer_channel.PeerChannel, message: peer_messages.Running
     ) -> None:
         service = self._find_service(message.service)
@@ -192,7 +202,7 @@
         )
 
     @handles(peer_messages.Reconcile)
-    def _reconcile(
+    def _handle_reconcile(
         self,
         channel: peer_channel.PeerChannel,
         message: peer_messages.Reconcile,
@@ -206,7 +216,7 @@
             )
 
     @handles(peer_messages.Withdraw)
-    def _withdraw(
+    def _handle_withdraw(
         self,
         channel: peer_channel.PeerChannel,
         message: peer_messages.Withdraw,
@@ -217,7 +227,7 @@
             self._engines.withdraw(service, message.key)
 
     @handles(peer_messages.FirstToken)
-    def _note_first(
+    def _handle_first_token(
         self,
         channel: peer_channel.PeerChannel,
         message: peer_messages.FirstToken,
@@ -230,7 +240,7 @@
             )
 
     @handles(peer_messages.End)
-    def _note_end(
+    def _handle_end(
         self, channel: peer_channel.PeerChannel, message: peer_messages.End
     ) -> None:
         del channel
@@ -239,7 +249,7 @@
             self._engines.note_end(service, message.key)
 
     @handles(peer_messages.Failed)
-    def _note_failed(
+    def _handle_failed(
         self, channel: peer_channel.PeerChannel, message: peer_messages.Failed
     ) -> None:
         del channel
@@ -249,15 +259,15 @@
                 service, message.key, certain=message.certain
             )
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         while True:
-            gevent.sleep(BEAT_SECONDS)
+            gevent.sleep(HEARTBEAT_SECONDS)
             for channel, waiting in list(self._waiting_by_channel.items()):
                 if waiting:
-                    channel.send(peer_messages.Beat(waiting=len(waiting)))
+                    channel.send(peer_messages.Heartbeat(waiting=len(waiting)))
 
 
-def _write_action(action: actions.Action) -> typing.Any:
+def _to_message(action: actions.Action) -> typing.Any:
     if isinstance(action, actions.Start):
         return peer_messages.Start(*action)
     return peer_messages.Refuse(
--- a/packages/daisypick_router/src/daisypick_router/peer_link.py
+++ b/packages/daisypick_router/src/daisypick_router/peer_link.py
@@ -1,4 +1,4 @@
-"""The asker's side of a connection to the router that hosts a service."""
+"""The requesting router's side of a connection to a host."""
 
 from collections.abc import Callable
 import random
@@ -14,26 +14,27 @@
 from daisypick_router import peer_messages
 
 _CONNECT_SECONDS = 0.3
-# A link on which nothing is asked for may go silent too; it is replaced
-# before it is needed.
-_PROBE_SECONDS = 3
-# Pause between tries to connect; a process that was killed is back after
-# about a second.
-_PAUSE_SECONDS = 0.2
-# Five heartbeats of a host; a host that says nothing for so long while we
-# wait for it is frozen or cut off.
-SILENCE_SECONDS = 0.25
-# A host that was silent is not asked again for this long after it was heard,
-# so that requests do not swing between two hosts.
-_DISTRUST_SECONDS = 0.5
+# Seconds after which the kernel closes a connection whose peer does not answer
+# keepalive probes, so that a dead idle link is replaced before it is needed.
+_KEEPALIVE_TIMEOUT_SECONDS = 3
+# Pause between connection attempts; a process that was killed runs again after
+# about 1 s.
+_RECONNECT_SECONDS = 0.2
+# Five heartbeat intervals of a host. A host that sends nothing for so long
+# while a request waits for it is frozen or unreachable.
+HEARTBEAT_TIMEOUT_SECONDS = 0.25
+# A host that timed out or disconnected gets no requests for this long, so that
+# requests do not alternate between two hosts.
+_COOLDOWN_SECONDS = 0.5
 
 
 class PeerLink:
-    """Keeps a connection to one router up, and who waits for its answers.
+    """Maintains a connection to one router and the requests waiting for it.
 
-    ``on_up(link)`` is called when a connection stands, to tell the host what
-    runs; ``on_feed(message)`` gets what it passes on of the store;
-    ``on_leaving(link)`` is called when it says that it stops.
+    ``on_up(link)`` is called when a connection is established, to report the
+    running requests to the host; ``on_feed(message)`` is called for each change
+    of the store that it forwards; ``on_leaving(link)`` is called when it
+    announces that it stops.
     """
 
     def __init__(
@@ -57,21 +58,21 @@
         self._on_feed = on_feed
         self._on_leaving = on_leaving
         self._channel: peer_channel.PeerChannel | None = None
-        self._distrusted_until = 0.0
+        self._cooldown_until = 0.0
         self.leaving = False
         self._deliver_by_key: dict[str, Callable[[typing.Any], None]] = {}
-        # When the first question that waits was seen to have left, and its
-        # number among the messages of the channel.
+        # When the first waiting request was found to be written to the socket,
+        # and its number among the messages of the channel.
         self._asked_at: float | None = None
         self._first_asked = 0
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Begin to connect."""
+        """Start connecting in the background."""
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Close the connection and forget the router."""
+        """Close the connection for good and fail the waiting requests."""
         if self._greenlet is not None:
             self._greenlet.kill(block=False)
         if self._channel is not None:
@@ -79,14 +80,14 @@
         self._fail_waiting()
 
     @property
-    def is_up(self) -> bool:
-        """Whether the host may be asked."""
-        trusted = time.monotonic() >= self._distrusted_until
-        return self.is_connected and trusted and not self.leaving
+    def is_available(self) -> bool:
+        """Whether requests may be submitted to the host."""
+        is_cooled_down = time.monotonic() >= self._cooldown_until
+        return self.is_connected and is_cooled_down and not self.leaving
 
     @property
     def is_connected(self) -> bool:
-        """Whether a connection stands."""
+        """Whether a connection is established."""
         return self._channel is not None and not self._channel.closed
 
     def ask(
@@ -94,7 +95,11 @@
         message: peer_messages.Submit,
         deliver: Callable[[typing.Any], None],
     ) -> None:
-        """Ask; ``deliver`` gets the answer, or ``None`` if none will come."""
+        """Submit a request to the host.
+
+        ``deliver`` is called with the reply, or with ``None`` if the host will
+        not reply.
+        """
         if not self._deliver_by_key:
             self._asked_at = None
             self._first_asked = self._channel.queued + 1
@@ -102,39 +107,43 @@
         self._channel.send(message)
 
     def forget(self, key: str) -> None:
-        """No longer wait for an answer."""
+        """Stop waiting for the reply to a request."""
         self._deliver_by_key.pop(key, None)
 
     def tell(self, message: typing.Any) -> None:
-        """Send a message that has no answer."""
+        """Send a message that has no reply, if connected."""
         if self._channel is not None:
             self._channel.send(message)
 
     def watch_silence(self, now: float) -> None:
-        """Give up what waits if the host is silent for too long."""
+        """Fail the waiting requests if the host's heartbeats have stopped."""
         if not self._deliver_by_key or self._channel is None:
             return
         if self._asked_at is None:
             if self._channel.written < self._first_asked:
-                # A late loop has not sent it yet; the host knows of nothing.
+                # The event loop is late and has not sent the request yet, so
+                # the host cannot reply.
                 return
             self._asked_at = now
-        heard_at = max(self._channel.heard_at, self._asked_at)
-        if now - heard_at < SILENCE_SECONDS or self._channel.has_unread():
+        last_received_at = max(self._channel.last_received_at, self._asked_at)
+        if (
+            now - last_received_at < HEARTBEAT_TIMEOUT_SECONDS
+            or self._channel.has_unread()
+        ):
             return
         self._log.write(
             "peer",
-            "A host of schedulers is silent.",
+            "A host stopped sending heartbeats.",
             host=self.name,
-            silent_seconds=round(now - heard_at, 3),
+            silent_seconds=round(now - last_received_at, 3),
             waiting=len(self._deliver_by_key),
         )
         self._channel.close()
-        self._distrust(now)
+        self._start_cooldown(now)
         self._fail_waiting()
 
-    def _distrust(self, now: float) -> None:
-        self._distrusted_until = now + _DISTRUST_SECONDS
+    def _start_cooldown(self, now: float) -> None:
+        self._cooldown_until = now + _COOLDOWN_SECONDS
 
     def _fail_waiting(self) -> None:
         waiting = list(self._deliver_by_key.values())
@@ -146,34 +155,40 @@
         while True:
             self._connect()
             if self._channel is not None:
-                self._distrust(time.monotonic())
+                self._start_cooldown(time.monotonic())
                 self._fail_waiting()
                 self._channel = None
-            gevent.sleep(_PAUSE_SECONDS * self._rng.uniform(0.5, 1.5))
+            gevent.sleep(_RECONNECT_SECONDS * self._rng.uniform(0.5, 1.5))
 
     def _connect(self) -> None:
         try:
             connected = connection.open_socket()
         except connection.NoDescriptorsError as error:
             self._log.write(
-                "peer", "No link.", host=self.name, reason=str(error)
+                "peer",
+                "Could not connect to a host.",
+                host=self.name,
+                reason=str(error),
             )
             return
         connected.settimeout(_CONNECT_SECONDS)
         try:
             connected.connect(self._address)
         except OSError:
-            # A loop that was held up may run the timer first.
-            stands = connection.is_connected(connected)
+            # A late event loop may run the timer although the connection was
+            # established in time.
+            is_established = connection.is_connected(connected)
         else:
-            stands = True
-        if not stands:
-            # Tried again after the pause; the state of links is in the dump.
+            is_established = True
+        if not is_established:
+            # Retried after the pause; the dump shows the state of links.
             connected.close()
             return
-        connection.probe_silence(connected, _PROBE_SECONDS)
+        connection.probe_silence(connected, _KEEPALIVE_TIMEOUT_SECONDS)
         channel = peer_channel.PeerChannel(
-            socket=connected, on_message=self._take, on_bad=self._note_bad
+            socket=connected,
+            on_message=self._receive,
+            on_invalid=self._log_invalid,
         )
         self._channel = channel
         self.leaving = False
@@ -181,10 +196,10 @@
         self._on_up(self)
         channel.run()
 
-    def _note_bad(self, trouble: failure.Failure) -> None:
-        self._log.write("peer", "Bad message.", reason=trouble.reason)
+    def _log_invalid(self, error: failure.Failure) -> None:
+        self._log.write("peer", "Invalid message.", reason=error.reason)
 
-    def _take(
+    def _receive(
         self, channel: peer_channel.PeerChannel, message: typing.Any
     ) -> None:
         del channel
@@ -193,7 +208,7 @@
             return
         if isinstance(message, peer_messages.Leaving):
             self.leaving = True
-            self._log.write("peer", "A host stops.", host=self.name)
+            self._log.write("peer", "A host is stopping.", host=self.name)
             self._on_leaving(self)
             return
         key = getattr(message, "key", None)
--- a/packages/daisypick_router/src/daisypick_router/peer_messages.py
+++ b/packages/daisypick_router/src/daisypick_router/peer_messages.py
@@ -1,11 +1,11 @@
-r"""What routers say to each other about starting requests.
+r"""Messages between routers about starting requests and store changes.
 
-A message is a line: a JSON array of its kind and its fields. One connection
-carries the messages of many requests that wait for different lengths of
-time, which HTTP/1.1 would need a connection each for.
+A message is a line with a JSON array of its kind and its fields. One
+connection carries the messages of many requests that wait for different
+lengths of time; HTTP/1.1 would need a connection for each of them.
 
-Times are sent as seconds from now, since clocks of two VMs have nothing in
-common.
+Times are sent as seconds relative to now, since the clocks of two VMs are not
+synchronised.
 
 Examples:
     >>> encode(FirstToken(service="assist", key="r-1/0", late=False))
@@ -27,7 +27,7 @@
 
 
 def register(kind: str) -> typing.Callable[[type], type]:
-    """Register a message under the kind that stands in its line."""
+    """Register a message type under the kind used on the wire."""
 
     def _add(message: type) -> type:
         type_by_kind[kind] = message
@@ -38,7 +38,7 @@
 
 
 class WireJob(typing.NamedTuple):
-    """A request that wants to start, with times relative to now."""
+    """A request to be scheduled, with times relative to now."""
 
     key: str
     organisation: str
@@ -54,14 +54,14 @@
 
 @register("hello")
 class Hello(typing.NamedTuple):
-    """First on a connection: who asks."""
+    """First message on a connection: the name of the requesting router."""
 
     router: str
 
 
 @register("submit")
 class Submit(typing.NamedTuple):
-    """A request wants to start."""
+    """A request to be scheduled by the host."""
 
     service: str
     work: WireJob
@@ -69,14 +69,15 @@
 
 @register("running")
 class Running(typing.NamedTuple):
-    """A request was started by decision of somebody else.
+    """A request that was started without a decision of this host.
 
     Attributes:
         service: Its service.
         work: The request.
-        server: Where it runs.
-        reading: Whether its first token is still to come.
-        ended: Whether it has ended; it still tells what the server keeps.
+        server: The backend server that runs it.
+        reading: Whether it is in prefill, before its first token.
+        ended: Whether it has ended. It is still reported because it shows what
+            the server's KV cache holds.
     """
 
     service: str
@@ -88,14 +89,14 @@
 
 @register("reconcile")
 class Reconcile(typing.NamedTuple):
-    """All requests of the asker that run, of all services.
+    """All running requests of the sender, of all services.
 
-    Sent when a connection stands, after what ran lately: what was told while
-    there was none is lost.
+    Sent when a connection is established, after the ``Running`` messages for
+    recent requests, since messages are lost while there is no connection.
 
     Attributes:
-        running: Keys of those that run.
-        reading: Keys of those of them whose first token is still to come.
+        running: Keys of the running requests.
+        reading: Keys of those among them that are in prefill.
     """
 
     running: tuple[str, ...]
@@ -104,7 +105,7 @@
 
 @register("withdraw")
 class Withdraw(typing.NamedTuple):
-    """The caller of a waiting or running request left."""
+    """The caller of a waiting or running request disconnected."""
 
     service: str
     key: str
@@ -112,14 +113,14 @@
 
 @register("first")
 class FirstToken(typing.NamedTuple):
-    """The first token of a request came.
+    """The first token of a request was received.
 
     Attributes:
         service: Its service.
         key: The request.
-        late: Whether the sender's loop was late, so that the first token may
-            have come some time ago. A sender of an older version does not
-            say.
+        late: Whether the sender's event loop was late, so that the first token
+            may have arrived some time before. Senders of an older version omit
+            it.
     """
 
     service: str
@@ -137,7 +138,7 @@
 
 @register("failed")
 class Failed(typing.NamedTuple):
-    """A request failed at its server; ``certain`` if that is down."""
+    """A request failed at its server; ``certain`` if the server is down."""
 
     service: str
     key: str
@@ -146,25 +147,25 @@
 
 @register("follow")
 class Follow(typing.NamedTuple):
-    """Pass on to us what your watches of the store say, or no longer."""
+    """Start or stop forwarding store changes to the sender."""
 
     wanted: bool
 
 
 @register("feed")
 class Feed(typing.NamedTuple):
-    """What a watch of the store answered.
+    """The result of a watch of the store.
 
     Attributes:
         kind: Kind of the objects.
         since: Revision from which the store was watched.
-        revision: Revision up to which nothing was missed.
-        objects: Name, revision, content and whether it was deleted, of each.
-        age: Seconds by which it may have been read late on its way.
-        origin: Which process watched the store.
-        number: Rises from one message of that process to the next.
+        revision: Revision up to which no change was missed.
+        objects: Name, revision, content and deletion flag of each.
+        age: Seconds by which routers on the path may have read it late.
+        origin: Identifies the process that watched the store.
+        number: Increases with each message of that process.
         era: Era of the store's revisions; ``None`` from a process that does
-            not tell it.
+            not send it.
     """
 
     kind: str
@@ -179,7 +180,7 @@
 
 @register("start")
 class Start(typing.NamedTuple):
-    """Answer: send the request to this server now."""
+    """Reply: send the request to this server now."""
 
     key: str
     server: str
@@ -192,7 +193,7 @@
 
 @register("refuse")
 class Refuse(typing.NamedTuple):
-    """Answer: tell the caller that its request has not run."""
+    """Reply: refuse the request, which has not run."""
 
     key: str
     retry_after: float
@@ -202,31 +203,31 @@
 
 @register("unknown")
 class UnknownService(typing.NamedTuple):
-    """Answer: we do not know the service yet; decide alone."""
+    """Reply: the host does not know the service yet; decide locally."""
 
     key: str
 
 
 @register("leaving")
 class Leaving(typing.NamedTuple):
-    """We stop; ask the next candidate from now on."""
+    """The sender is stopping; submit to the next candidate from now on."""
 
 
 @register("beat")
-class Beat(typing.NamedTuple):
-    """We live, and what you asked for still waits."""
+class Heartbeat(typing.NamedTuple):
+    """The sender is alive; ``waiting`` requests of the peer still wait."""
 
     waiting: int
 
 
 def encode(message: typing.NamedTuple) -> bytes:
-    """Return the line of a message."""
+    """Return a message as a line."""
     kind = _kind_by_type[type(message)]
     return msgspec.json.encode((kind, *message)) + b"\n"
 
 
 def decode(line: bytes) -> typing.Any | failure.Failure:
-    """Return the message of a line."""
+    """Return the message that a line holds."""
     try:
         kind, *fields = msgspec.json.decode(line)
         return msgspec.convert(fields, type_by_kind[kind])
@@ -237,7 +238,7 @@
 
 
 def write_job(work: job.Job, now: float) -> WireJob:
-    """Return a job as it goes over the wire."""
+    """Return the wire form of a job."""
     return WireJob(
         key=work.key,
         organisation=work.organisation,
@@ -253,7 +254,7 @@
 
 
 def read_job(wire: WireJob, router: str, now: float) -> job.Job:
-    """Return the job of a router."""
+    """Return the job that a router sent in wire form."""
     return job.Job(
         key=wire.key,
         router=router,
--- a/packages/daisypick_router/src/daisypick_router/store_feed.py
+++ b/packages/daisypick_router/src/daisypick_router/store_feed.py
@@ -1,16 +1,17 @@
-"""Changes of the platform's store, passed on from router to router.
-
-The store's rate grows more slowly than the fleet, and each watch that waits
-or answers is a call. So in a large fleet one router watches and the others
-follow it, in a tree in which each passes on what it hears. Each answer of the
-store, also an empty one, is passed on: it proves that nothing was missed up to
-that moment. A router that has no fresh proof asks the store itself, from the
-revision that it has reached, and passes that on; so neither it nor those below
-it are further behind than by the age of a proof, whatever happens above.
-
-A store that came back from an older copy gives its revisions out again. No
-proof of an earlier era counts then, and those below a router hear of the new
-era from it at once.
+"""Forwards changes of the platform's store from router to router.
+
+The store's call rate limit grows more slowly than the fleet, and each watch
+counts as a call. So in a large fleet one router watches the store, and the
+others form a tree below it in which each forwards what it receives. Every
+response of the store is forwarded, also an empty one: it confirms that no
+change up to that moment was missed. A router without a recent confirmation
+watches the store itself, from the revision that it has reached, and forwards
+the result. So neither it nor its followers lag by more than the age of a
+confirmation, whatever fails above them.
+
+A store restored from an older backup issues the same revisions again.
+Confirmations of an earlier era are then invalid, and a router informs its
+followers of the new era at once.
 """
 
 import collections
@@ -24,42 +25,42 @@
 from daisypick_router import peer_channel
 from daisypick_router import peer_messages
 
-# Routers from which on following pays: fewer watch for themselves with fewer
-# calls than one makes that others rely on.
-LEAST_ROUTERS = 12
-# Age of the newest proof at which a router asks the store itself. Operators
-# allow two seconds for a change to be in force; proofs come every 0.8 s.
-_STALE_SECONDS = 1.5
-# Objects of an answer up to this size are passed on; with a larger one, such
-# as a configuration of hundreds of routes, each asks the store, which spares
-# the links between data centres.
-_MOST_BYTES = 4096
-# Routers that lately watched the store, whose newest messages are known.
-_MOST_ORIGINS = 64
-# Stands for the kind in a message that tells of a new era alone.
-_NO_KIND = ""
-
-
-class _Kind:
-    """What is known of one kind of objects."""
+# Fleet size from which forwarding saves calls. In a smaller fleet, all routers'
+# own long watches cost fewer calls than the short watches of one feed source.
+MIN_ROUTERS = 12
+# Age of the newest confirmation at which a router watches the store itself.
+# A change must be in force within 2 s; confirmations arrive every 0.8 s.
+_MAX_CONFIRMATION_AGE_SECONDS = 1.5
+# Largest message that is forwarded with its objects. For a larger one, such as
+# a configuration of hundreds of routes, each router reads the store itself,
+# which saves traffic between data centres.
+_MAX_FORWARDED_BYTES = 4096
+# Number of origins whose last message number is remembered.
+_MAX_ORIGINS = 64
+# Kind of a message that only announces a new era.
+_ERA_ONLY_KIND = ""
+
+
+class _KindState:
+    """State of the feed for one kind of objects."""
 
     def __init__(self) -> None:
-        self.waiting: collections.deque[peer_messages.Feed] = (
+        self.pending: collections.deque[peer_messages.Feed] = (
             collections.deque()
         )
-        self.proven_at = -_STALE_SECONDS
+        self.confirmed_at = -_MAX_CONFIRMATION_AGE_SECONDS
         self.changed = event.Event()
 
 
 class StoreFeed:
-    """Both sides: passes on what we watch, and takes what others pass on.
+    """Both sides of the feed: sends to followers, receives from a source.
 
-    ``find_lag()`` tells how late this process runs; a proof that was read
-    late, or passed on late, is that much older. ``origin`` is another one for
-    each process, since its messages are numbered anew.
+    ``find_lag()`` returns the lag of this process's event loop, which is added
+    to the age of each confirmation that is received or forwarded. ``origin``
+    differs for each process, since each numbers its messages from 1.
 
     Attributes:
-        is_following: Whether another router passes changes on to us.
+        is_following: Whether another router forwards changes to this one.
     """
 
     def __init__(
@@ -74,36 +75,38 @@
         self._eras = eras or positions.Eras()
         self._eras.on_rise(self._begin_era)
         self._published = 0
-        self._number_by_origin: dict[str, int] = {}
+        self._last_number_by_origin: dict[str, int] = {}
         self.is_following = False
         self._followers: set[peer_channel.PeerChannel] = set()
-        self._by_kind: dict[str, _Kind] = collections.defaultdict(_Kind)
+        self._by_kind: dict[str, _KindState] = collections.defaultdict(
+            _KindState
+        )
 
     def add_follower(self, channel: peer_channel.PeerChannel) -> None:
-        """Pass on to one more router."""
+        """Forward changes to a router from now on."""
         self._followers.add(channel)
 
-    def drop_follower(self, channel: peer_channel.PeerChannel) -> None:
-        """A router's connection ended, or it follows another one."""
+    def remove_follower(self, channel: peer_channel.PeerChannel) -> None:
+        """Remove a router that disconnected or chose another source."""
         self._followers.discard(channel)
 
     @property
     def followers(self) -> int:
-        """Routers that we pass changes on to."""
+        """Number of routers that changes are forwarded to."""
         return len(self._followers)
 
     def has_followers(self) -> bool:
-        """Whether others hear of changes from us."""
+        """Whether any router receives changes from this one."""
         return bool(self._followers)
 
     def must_watch(self) -> bool:
-        """Whether these rely on watches of our own."""
+        """Whether followers depend on this router's own watches."""
         return self.has_followers() and not self.is_following
 
     def publish(
         self, kind: str, since: positions.Position, listing: stores.Listing
     ) -> None:
-        """Pass on what a watch from ``since`` answered."""
+        """Send followers the result of a watch from ``since``."""
         if not self._followers:
             return
         self._published += 1
@@ -118,7 +121,7 @@
             era=listing.position.era,
         )
         line = peer_messages.encode(message)
-        if len(line) > _MOST_BYTES:
+        if len(line) > _MAX_FORWARDED_BYTES:
             message = message._replace(
                 since=listing.position.revision, objects=()
             )
@@ -129,30 +132,30 @@
         for channel in self._followers:
             channel.send_line(line)
 
-    def take(self, message: peer_messages.Feed) -> None:
-        """Take what the router that we follow passes on."""
+    def receive(self, message: peer_messages.Feed) -> None:
+        """Handle a message from the feed source and forward it."""
         if not self._is_new(message) or not self._eras.note(message.era):
             return
-        known = self._by_kind[message.kind]
+        state = self._by_kind[message.kind]
         age = message.age + self._find_lag()
         if self._followers:
-            passed_on = message._replace(age=round(age, 3))
-            self._send(peer_messages.encode(passed_on))
-        proven_at = time.monotonic() - age
-        known.proven_at = max(known.proven_at, proven_at)
-        known.waiting.append(message)
-        known.changed.set()
+            forwarded = message._replace(age=round(age, 3))
+            self._send(peer_messages.encode(forwarded))
+        confirmed_at = time.monotonic() - age
+        state.confirmed_at = max(state.confirmed_at, confirmed_at)
+        state.pending.append(message)
+        state.changed.set()
 
     def _begin_era(self, old: int, new: int) -> None:
-        """Forget proofs of an earlier era, and tell those below us of it."""
+        """Drop confirmations of an earlier era and inform followers."""
         del old
-        for known in self._by_kind.values():
-            known.waiting.clear()
-            known.proven_at = -_STALE_SECONDS
-            known.changed.set()
+        for state in self._by_kind.values():
+            state.pending.clear()
+            state.confirmed_at = -_MAX_CONFIRMATION_AGE_SECONDS
+            state.changed.set()
         self._published += 1
-        announced = peer_messages.Feed(
-            kind=_NO_KIND,
+        announcement = peer_messages.Feed(
+            kind=_ERA_ONLY_KIND,
             since=0,
             revision=0,
             objects=(),
@@ -161,57 +164,64 @@
             number=self._published,
             era=new,
         )
-        self._send(peer_messages.encode(announced))
+        self._send(peer_messages.encode(announcement))
 
     def _is_new(self, message: peer_messages.Feed) -> bool:
-        """Tell whether a message did not come before, by any way.
+        """Return whether a message was not received before on any path.
 
-        Two routers that each follow the other would pass it on for ever, and
-        take it for a fresh proof each time.
+        Otherwise two routers that follow each other would forward it for ever
+        and count it as a new confirmation each time.
         """
         origin, number = message.origin, message.number
         if origin == self._origin:
             return False
-        if number <= self._number_by_origin.get(origin, 0):
+        if number <= self._last_number_by_origin.get(origin, 0):
             return False
-        self._number_by_origin.pop(origin, None)
-        self._number_by_origin[origin] = number
-        while len(self._number_by_origin) > _MOST_ORIGINS:
-            del self._number_by_origin[next(iter(self._number_by_origin))]
+        self._last_number_by_origin.pop(origin, None)
+        self._last_number_by_origin[origin] = number
+        while len(self._last_number_by_origin) > _MAX_ORIGINS:
+            del self._last_number_by_origin[
+                next(iter(self._last_number_by_origin))
+            ]
         return True
 
     def is_fresh(self, kind: str) -> bool:
-        """Whether it proves that nothing was missed up to a moment ago."""
+        """Whether a recent confirmation shows that no change was missed."""
         return self._stale_at(kind) > time.monotonic()
 
     def _stale_at(self, kind: str) -> float:
-        return self._by_kind[kind].proven_at + _STALE_SECONDS
+        return self._by_kind[kind].confirmed_at + _MAX_CONFIRMATION_AGE_SECONDS
 
     def wait(
         self, kind: str, since: positions.Position, seconds: float
     ) -> stores.Listing | None:
-        """Wait for changes after a position; ``None``: ask the store."""
-        known = self._by_kind[kind]
-        until = time.monotonic() + seconds
+        """Wait for changes after a position.
+
+        Returns:
+            The changes, none if there were none within ``seconds``, or
+            ``None`` if the store must be read instead.
+        """
+        state = self._by_kind[kind]
+        deadline = time.monotonic() + seconds
         while since.era == self._eras.newest:
-            while known.waiting:
-                message = known.waiting.popleft()
+            while state.pending:
+                message = state.pending.popleft()
                 if message.since > since.revision:
                     return None
                 if message.revision > since.revision:
-                    return _read(message, since)
+                    return _to_listing(message, since)
             now = time.monotonic()
             stale_at = self._stale_at(kind)
             if now >= stale_at:
                 return None
-            if now >= until:
+            if now >= deadline:
                 return stores.Listing(objects=(), position=since)
-            known.changed.clear()
-            known.changed.wait(min(until, stale_at) - now)
+            state.changed.clear()
+            state.changed.wait(min(deadline, stale_at) - now)
         return None
 
 
-def _read(
+def _to_listing(
     message: peer_messages.Feed, since: positions.Position
 ) -> stores.Listing:
     objects = (stores.StoredObject(*fields) for fields in message.objects)
