--- a/packages/daisypick_router/src/daisypick_router/__init__.py
+++ b/packages/daisypick_router/src/daisypick_router/__init__.py
@@ -1,18 +1,18 @@
 """The router process on the platform.
 
-``serving`` is the way of a request, from its head to its last byte; every
-step there is a module of its own.
+``serving`` handles a request from its head to its last byte; each step of it
+is a module of its own.
 
-* ``process``: wires everything, starts and stops.
+* ``process``: creates and connects the components, starts and stops them.
 * ``intake``: which request that was read begins next.
-* ``serving``: the way of a request.
-* ``identify``: whose request it is and where it leads.
+* ``serving``: the steps of handling a request.
+* ``identify``: the organisation and the route of a request.
 * ``exchange``: one request at one backend server.
-* ``relay``: an answer back to the caller.
-* ``plain_servers``: which server of a plain service.
-* ``engine_servers``: which server of a model service, and when.
-* ``discovery``: copies of what the platform's store holds.
+* ``relay``: sends a server's response to the caller.
+* ``plain_servers``: selects a server of a plain service.
+* ``engine_servers``: selects a server and a start time for a model service.
+* ``discovery``: local copies of objects in the platform's store.
 * ``membership``: the routers of the fleet.
-* ``log``: structured log lines, bounded.
-* ``metrics``: counters and histograms.
+* ``log``: bounded, structured log lines.
+* ``metrics``: counters, gauges and histograms.
 """
--- a/packages/daisypick_router/src/daisypick_router/discovery.py
+++ b/packages/daisypick_router/src/daisypick_router/discovery.py
@@ -1,8 +1,7 @@
-"""Copies of what the platform's store holds: configuration and servers.
+"""Local copies of the configuration and servers in the platform's store.
 
-Each copy stands while the store is away. A configuration never goes back: a
-list read from a store that lags is older than what we have, and is passed
-over.
+Each copy stays in use while the store is unreachable. A configuration is
+never replaced by an older version, such as one listed by a lagging store.
 """
 
 from collections.abc import Callable
@@ -23,16 +22,16 @@
 from daisypick_platform import watch
 from daisypick_router import log as logs
 
-_EXPIRE_SECONDS = 0.2
-# Changes of entries that came together and are each logged by itself.
-_LOGGED_CHANGES = 16
+_EXPIRY_CHECK_SECONDS = 0.2
+# Entries that change together are logged one by one up to this number.
+_MAX_LOGGED_CHANGES = 16
 
 
 class Discovery:
-    """The newest configuration and the servers that may get work.
+    """The newest configuration and the servers that requests may go to.
 
-    ``on_servers(names)`` is called with the servers that have changed, or
-    ``None`` if any may have.
+    ``on_servers(names)`` is called with the names of the servers that changed,
+    or with ``None`` if any of them may have changed.
     """
 
     def __init__(
@@ -54,17 +53,25 @@
         self.directory = directories.Directory()
         self._hold = restore_hold.RestoreHold()
         store.eras.on_rise(self._begin_hold)
-        self.has_servers = False
-        self._away = False
+        self.has_server_list = False
+        self._is_store_unreachable = False
         self._unreadable: set[str] = set()
 
     def start(self) -> None:
-        """Begin to follow the store."""
+        """Start following the store."""
         self._follow(
-            manifest.KIND, self._take_configurations, self._take_configurations
+            manifest.KIND,
+            self._apply_configurations,
+            self._apply_configurations,
+        )
+        self._follow(
+            entries.KIND, self._apply_server_list, self._apply_server_changes
+        )
+        self._follow(
+            entries.OUT_KIND,
+            self._apply_evacuation_list,
+            self._apply_evacuation_changes,
         )
-        self._follow(entries.KIND, self._take_servers, self._change_servers)
-        self._follow(entries.OUT_KIND, self._take_out_list, self._change_out)
         gevent.spawn(self._expire_missing)
 
     def _follow(
@@ -85,40 +92,40 @@
         )
         gevent.spawn(watcher.run)
 
-    def _note_contact(self, trouble: failure.Failure | None) -> None:
+    def _note_contact(self, error: failure.Failure | None) -> None:
         now = time.monotonic()
-        if trouble is None:
+        if error is None:
             self.directory.note_contact(now)
-            if self._away:
-                self._away = False
-                self._log.write("store", "The store answers again.")
+            if self._is_store_unreachable:
+                self._is_store_unreachable = False
+                self._log.write("store", "The store responds again.")
             return
         self.directory.note_outage(now)
-        if not self._away:
-            self._away = True
+        if not self._is_store_unreachable:
+            self._is_store_unreachable = True
             self._log.write(
-                "store", "The store does not answer.", reason=trouble.reason
+                "store", "The store does not respond.", reason=error.reason
             )
 
-    def _take_configurations(
+    def _apply_configurations(
         self, objects: tuple[stores.StoredObject, ...]
     ) -> None:
         for stored in objects:
-            self._take_configuration(stored)
+            self._apply_configuration(stored)
 
-    def _take_configuration(self, stored: stores.StoredObject) -> None:
+    def _apply_configuration(self, stored: stores.StoredObject) -> None:
         if stored.name != manifest.NAME or stored.deleted:
             return
         decoded = manifest.decode(stored.spec)
         if failure.is_failure(decoded):
             self._log.write(
                 "configuration",
-                "A configuration is unreadable; the last one stands.",
+                "Invalid configuration; the last valid one stays in force.",
                 reason=decoded.reason,
             )
             return
-        held = self.configuration
-        if held is not None and decoded.version <= held.version:
+        current = self.configuration
+        if current is not None and decoded.version <= current.version:
             return
         self.configuration = decoded
         self._log.write(
@@ -128,10 +135,14 @@
             routes=len(decoded.routes),
             tokens_per_second=decoded.limits.tokens_per_second,
         )
-        same = held and held.service_by_name == decoded.service_by_name
-        self._on_servers(() if same else None)
+        same_services = (
+            current and current.service_by_name == decoded.service_by_name
+        )
+        self._on_servers(() if same_services else None)
 
-    def _take_servers(self, objects: tuple[stores.StoredObject, ...]) -> None:
+    def _apply_server_list(
+        self, objects: tuple[stores.StoredObject, ...]
+    ) -> None:
         now = time.monotonic()
         servers = [self._read_server(stored, now) for stored in objects]
         self.directory.replace_all(
@@ -140,7 +151,7 @@
             ),
             now,
         )
-        self.has_servers = True
+        self.has_server_list = True
         self._log.write(
             "servers",
             "Read the list of backend servers.",
@@ -158,17 +169,19 @@
         if stored.name not in self._unreadable:
             self._unreadable.add(stored.name)
             self._log.write(
-                "servers", "Passed over an entry.", reason=decoded.reason
+                "servers", "Skipped an invalid entry.", reason=decoded.reason
             )
         return None
 
-    def _change_servers(self, objects: tuple[stores.StoredObject, ...]) -> None:
+    def _apply_server_changes(
+        self, objects: tuple[stores.StoredObject, ...]
+    ) -> None:
         now = time.monotonic()
         for stored in objects:
-            self._change_server(
-                stored, now, log=len(objects) <= _LOGGED_CHANGES
+            self._apply_server_change(
+                stored, now, log=len(objects) <= _MAX_LOGGED_CHANGES
             )
-        if len(objects) > _LOGGED_CHANGES:
+        if len(objects) > _MAX_LOGGED_CHANGES:
             self._log.write(
                 "servers",
                 "Many entries changed.",
@@ -177,7 +190,7 @@
             )
         self._on_servers([stored.name for stored in objects])
 
-    def _change_server(
+    def _apply_server_change(
         self, stored: stores.StoredObject, now: float, *, log: bool
     ) -> None:
         server = None
@@ -185,23 +198,23 @@
         if not stored.deleted:
             server = self._read_server(stored, now)
         if server is None:
-            self._note_left(stored.name, now)
+            self._record_removal(stored.name, now)
             self.directory.remove(stored.name, now)
         else:
             self.directory.put(server)
         if log:
             self._log_change(stored.name, server, now)
 
-    def _note_left(self, name: str, now: float) -> None:
-        left = self.directory.server_by_name.get(name)
-        if left is not None:
-            self._hold.note_left(left, now)
+    def _record_removal(self, name: str, now: float) -> None:
+        removed = self.directory.server_by_name.get(name)
+        if removed is not None:
+            self._hold.note_left(removed, now)
 
     def _log_change(
         self, name: str, server: backend_server.BackendServer | None, now: float
     ) -> None:
         if server is None:
-            self._log.write("servers", "An entry is gone.", server=name)
+            self._log.write("servers", "An entry was removed.", server=name)
             return
         self._log.write(
             "servers",
@@ -212,18 +225,22 @@
             born=server.born,
         )
 
-    def _take_out_list(self, objects: tuple[stores.StoredObject, ...]) -> None:
+    def _apply_evacuation_list(
+        self, objects: tuple[stores.StoredObject, ...]
+    ) -> None:
         out = {stored.name for stored in objects if not stored.deleted}
         now = time.monotonic()
         self.directory.set_out(self._hold.filter_out(out, now), now)
         self._on_servers(None)
 
-    def _change_out(self, objects: tuple[stores.StoredObject, ...]) -> None:
+    def _apply_evacuation_changes(
+        self, objects: tuple[stores.StoredObject, ...]
+    ) -> None:
         for stored in objects:
-            self._take_out(stored)
+            self._apply_evacuation(stored)
         self._on_servers(None)
 
-    def _take_out(self, stored: stores.StoredObject) -> None:
+    def _apply_evacuation(self, stored: stores.StoredObject) -> None:
         self._hold.note_out(stored.name, out=not stored.deleted)
         out = set(self.directory.data_centres_out)
         if stored.deleted:
@@ -233,32 +250,32 @@
         self.directory.set_out(out, time.monotonic())
         self._log.write(
             "servers",
-            "A data centre is taken out or back.",
+            "A data centre was taken out of or put back into service.",
             data_centre=stored.name,
             out=not stored.deleted,
         )
 
     def _expire_missing(self) -> None:
         while True:
-            gevent.sleep(_EXPIRE_SECONDS)
+            gevent.sleep(_EXPIRY_CHECK_SECONDS)
             if self._hold.is_over(time.monotonic()):
                 self._end_hold()
-            gone = self.directory.expire(time.monotonic())
-            if gone:
+            expired = self.directory.expire(time.monotonic())
+            if expired:
                 self._log.write(
-                    "servers", "Missing entries are gone.", servers=gone
+                    "servers", "Missing entries expired.", servers=expired
                 )
-                self._on_servers(gone)
+                self._on_servers(expired)
 
     def _begin_hold(self, old: int, new: int) -> None:
-        """Keep what the store acknowledged before it came back from a copy."""
+        """Hold the state from before the store was restored from a backup."""
         now = time.monotonic()
         self.directory.note_restored(now)
         servers = self.directory.server_by_name.values()
         self._hold.begin(servers, out=self.directory.data_centres_out, now=now)
         self._log.write(
             "store",
-            "The store came back from an older copy.",
+            "The store was restored from an older backup.",
             old_era=old,
             era=new,
             draining=sum(server.draining for server in servers),
@@ -267,14 +284,14 @@
         )
 
     def _end_hold(self) -> None:
-        """Believe the store again in what nobody has written since."""
+        """Apply the store's state for entries not written since the restore."""
         servers, out = self._hold.end()
         for server in servers:
             self.directory.put(server)
         self.directory.set_out(out, time.monotonic())
         self._log.write(
             "store",
-            "The store is believed again.",
+            "The hold period after the store's restore ended.",
             servers=sorted(server.name for server in servers),
             out=sorted(out),
         )
--- a/packages/daisypick_router/src/daisypick_router/load_watch.py
+++ b/packages/daisypick_router/src/daisypick_router/load_watch.py
@@ -1,4 +1,4 @@
-"""A timer that tells how late this process runs."""
+"""A timer that measures the lag of this process's event loop."""
 
 from collections.abc import Callable
 import time
@@ -9,16 +9,16 @@
 from daisypick_router import log as logs
 
 _PERIOD_SECONDS = 0.05
-# What is seen by a loop that is later than this tells nothing of how long
-# others took; first tokens take some times as long.
+# With a greater lag, times measured here say nothing about how long others
+# took. Times to the first token are only a few times as long.
 _LATE_SECONDS = 0.02
 
 
 class LoadWatch:
-    """Feeds ``overload`` and logs when it begins and ends.
+    """Updates ``overload`` and logs when it begins and ends.
 
-    ``find_wait(now)`` tells how long requests wait to begin; callers wait for
-    that as they do for a late loop.
+    ``find_wait(now)`` returns how long requests wait to begin, which delays
+    callers as the lag of the event loop does.
     """
 
     def __init__(
@@ -29,50 +29,50 @@
         self._find_wait = find_wait
         self._woke_at = time.monotonic()
         self._last_lag = 0.0
-        self._most_lag = 0.0
+        self._max_lag = 0.0
 
-    def take_most_lag(self) -> float:
-        """Return how late the timer woke at the most since the last call."""
-        most, self._most_lag = self._most_lag, 0.0
-        return most
+    def take_max_lag(self) -> float:
+        """Return and reset the greatest timer lag since the last call."""
+        max_lag, self._max_lag = self._max_lag, 0.0
+        return max_lag
 
     def find_lag(self) -> float:
-        """Return how late anything may have been read just now, in seconds.
+        """Return by how many seconds data may have been read late just now.
 
-        The greater of how late the timer woke last and how late it is now:
-        after a stall other things may run before it does.
+        The greater of the timer's last lag and its current delay: after a
+        stall, other greenlets may run before the timer does.
         """
         overdue = time.monotonic() - self._woke_at - _PERIOD_SECONDS
         return max(self._last_lag, overdue, 0.0)
 
     def is_late(self) -> bool:
-        """Tell whether what is seen now may have come some time ago."""
+        """Return whether data read now may have arrived some time before."""
         return self.find_lag() > _LATE_SECONDS
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start the timer."""
         gevent.spawn(self._run)
 
     def _run(self) -> None:
         while True:
             slept_at = time.monotonic()
             gevent.sleep(_PERIOD_SECONDS)
-            # The loop wakes timers before greenlets that are ready to run, of
-            # which a flood leaves hundreds: timers keep time while callers
-            # wait. This goes through that queue once.
+            # The event loop runs timers before ready greenlets. A load spike
+            # leaves hundreds of these, so callers wait while timers are on
+            # time. This waits for one pass through that queue.
             gevent.sleep(0)
             now = time.monotonic()
             self.take(now - slept_at - _PERIOD_SECONDS, now)
 
     def take(self, lag: float, now: float) -> None:
-        """Take how late the timer woke."""
+        """Record the lag of one wake-up of the timer."""
         self._woke_at = now
         self._last_lag = max(lag, 0.0)
-        self._most_lag = max(self._most_lag, lag)
+        self._max_lag = max(self._max_lag, lag)
         was_ready = self.overload.is_ready
         self.overload.note_lag(max(lag, self._find_wait(now)), now)
         if was_ready != self.overload.is_ready:
-            say = "Overloaded; not ready." if was_ready else "Ready again."
+            text = "Overloaded; not ready." if was_ready else "Ready again."
             self._log.write(
-                "process", say, lag_seconds=round(self.overload.lag, 3)
+                "process", text, lag_seconds=round(self.overload.lag, 3)
             )
--- a/packages/daisypick_router/src/daisypick_router/membership.py
+++ b/packages/daisypick_router/src/daisypick_router/membership.py
@@ -1,13 +1,13 @@
-"""The routers of the fleet, known through the platform's store.
+"""The routers of the fleet, listed in the platform's store.
 
-Each router keeps an object of our own kind there, renews it slowly and reads
-the list now and then; nothing that a request needs waits for it. A watch
-would wake every router at each renewal of every other one.
+Each router keeps an object there, renews it at a low rate and polls the list;
+no request waits for either. A watch would wake every router at each renewal
+by every other one.
 
-The number of routers divides what each may do alone. So it is better to count
-a router that is gone than to overlook one that lives: an entry is dropped only
-after several missed renewals, and a router that knows of no other yet assumes
-a few.
+Limits that each router enforces locally are divided by the number of routers.
+Counting a stopped router is therefore safer than missing a live one: an entry
+expires only after several missed renewals, and a router that has not read the
+list yet assumes several others.
 """
 
 from collections.abc import Callable
@@ -25,19 +25,20 @@
 from daisypick_router import log as logs
 
 KIND = "daisypick-routers"
-# Renewals cost a write each; 690 routers make 23 a second of several hundred.
+# Each renewal is a write to the store. 690 routers make 23 of them a second,
+# of several hundred that the store allows.
 _RENEW_SECONDS = 30.0
-# An entry that was not renewed for this long belongs to no live router.
-_LAPSE_SECONDS = 100.0
-# Pauses between reads of the list: soon after the start, when the others
-# start too, then seldom.
-_READ_SECONDS = (0.7, 1.5, 3.0, 8.0)
-# Divisor before the list was read, so that a router which starts while the
-# store is away takes a small part.
+# An entry not renewed for this long belongs to a router that has ended.
+_EXPIRY_SECONDS = 100.0
+# Pauses between reads of the list: short after the start, when other routers
+# may be starting too, then longer.
+_POLL_SECONDS = (0.7, 1.5, 3.0, 8.0)
+# Number of routers assumed before the list was read, so that a router which
+# starts while the store is unreachable uses only a small share of each limit.
 _ASSUMED_ROUTERS = 8
-# How long routers that a restored store has forgotten still count; each writes
-# its entry again when it hears of the store's return.
-_KEPT_SECONDS = 6.0
+# How long routers that are missing from a restored store still count. Each
+# writes its entry again when it learns of the restore.
+_RESTORE_GRACE_SECONDS = 6.0
 
 
 class Member(typing.NamedTuple):
@@ -45,16 +46,16 @@
 
     Attributes:
         name: Name of its VM.
-        address: Where our processes reach it.
+        address: Address at which other routers reach it.
         power: Cores that its process may use.
-        seen_at: When its entry last changed, on our clock.
+        changed_at: When its entry last changed, by the local clock.
         position: When its entry last changed, in the store's history.
     """
 
     name: str
     address: tuple[str, int]
     power: float
-    seen_at: float
+    changed_at: float
     position: positions.Position
 
 
@@ -79,62 +80,62 @@
         self._address = address
         self._power = power
         self._on_change = on_change
-        self._listed = False
+        self._has_list = False
         self._renewals = 0
-        # Set when our entry may be gone from the store.
-        self._is_due = event.Event()
-        self._kept_until = 0.0
-        store.eras.on_rise(self._restore)
+        # Set when the store may have lost the entry of this router.
+        self._renewal_due = event.Event()
+        self._restore_grace_until = 0.0
+        store.eras.on_rise(self._handle_restore)
         self.member_by_name: dict[str, Member] = {}
 
     @property
     def routers(self) -> int:
-        """How many routers share what each does alone."""
+        """Number of routers that share the limits enforced locally."""
         known = len(self.member_by_name.keys() | {self._name})
-        return known if self._listed else max(known, _ASSUMED_ROUTERS)
+        return known if self._has_list else max(known, _ASSUMED_ROUTERS)
 
     @property
     def names(self) -> frozenset[str]:
-        """Names of all routers; empty while the list was not read.
+        """Names of all routers; empty until the list was read.
 
-        What must not be exceeded by all together is divided by these. A
-        router that starts while the store is away does not know how many
-        start beside it.
+        Limits on the fleet as a whole are divided among these. A router that
+        starts while the store is unreachable does not know how many others
+        start at the same time.
         """
-        if not self._listed:
+        if not self._has_list:
             return frozenset()
         return frozenset(self.member_by_name) | {self._name}
 
     def start(self) -> None:
-        """Begin to follow the other routers and to renew our entry."""
-        gevent.spawn(self._read)
-        gevent.spawn(self._renew)
+        """Start polling the list and renewing this router's entry."""
+        gevent.spawn(self._poll_list)
+        gevent.spawn(self._run_renewals)
 
     def leave(self) -> None:
-        """Remove our entry; called when the process stops for good."""
+        """Remove this router's entry; called when the process stops."""
         member = self.member_by_name.get(self._name)
         if member is not None:
             self._store.delete(KIND, self._name, member.position)
 
-    def _renew(self) -> None:
+    def _run_renewals(self) -> None:
         while True:
             written = self._write_entry()
             pause = _RENEW_SECONDS
             if failure.is_failure(written):
                 self._log.write(
                     "members",
-                    "Our entry was not renewed.",
+                    "Could not renew this router's entry.",
                     reason=written.reason,
                 )
                 pause = _RENEW_SECONDS / 10.0
-            self._is_due.clear()
-            self._is_due.wait(pause * self._rng.uniform(0.8, 1.2))
+            self._renewal_due.clear()
+            self._renewal_due.wait(pause * self._rng.uniform(0.8, 1.2))
 
-    def _restore(self, old: int, new: int) -> None:
-        """Write our entry again; others do, and count until they have."""
+    def _handle_restore(self, old: int, new: int) -> None:
+        """Write the entry again; until others have, they still count."""
         del old, new
-        self._kept_until = time.monotonic() + _KEPT_SECONDS
-        self._is_due.set()
+        self._restore_grace_until = time.monotonic() + _RESTORE_GRACE_SECONDS
+        self._renewal_due.set()
 
     def _write_entry(self) -> stores.StoredObject | failure.Failure:
         self._renewals += 1
@@ -148,41 +149,43 @@
             written = self._store.create(KIND, self._name, spec)
         return written
 
-    def _read(self) -> None:
-        """Read the list, soon again at first, then seldom."""
+    def _poll_list(self) -> None:
+        """Read the list at growing intervals."""
         reads = 0
         while True:
             found = self._store.list_kind(KIND, stale=reads > 1)
             if failure.is_failure(found):
                 self._log.write(
-                    "members", "The list was not read.", reason=found.reason
+                    "members",
+                    "Could not read the list of routers.",
+                    reason=found.reason,
                 )
             else:
-                self._take(found.objects)
-            pause = _READ_SECONDS[min(reads, len(_READ_SECONDS) - 1)]
+                self._apply_list(found.objects)
+            pause = _POLL_SECONDS[min(reads, len(_POLL_SECONDS) - 1)]
             reads += 1
             gevent.sleep(pause * self._rng.uniform(0.8, 1.2))
 
-    def _take(self, objects: tuple[stores.StoredObject, ...]) -> None:
+    def _apply_list(self, objects: tuple[stores.StoredObject, ...]) -> None:
         before = set(self.member_by_name), self.routers
-        self._listed = True
+        self._has_list = True
         listed = {stored.name for stored in objects}
-        if time.monotonic() >= self._kept_until:
+        if time.monotonic() >= self._restore_grace_until:
             for name in self.member_by_name.keys() - listed:
                 del self.member_by_name[name]
         for stored in objects:
             known = self.member_by_name.get(stored.name)
             position = self._find_position(stored)
             if known is None or known.position != position:
-                self._put(stored)
-        self._drop_lapsed()
+                self._add_member(stored)
+        self._drop_expired()
         if (set(self.member_by_name), self.routers) != before:
             self._log.write(
-                "members", "The routers changed.", routers=self.routers
+                "members", "The set of routers changed.", routers=self.routers
             )
             self._on_change()
 
-    def _put(self, stored: stores.StoredObject) -> None:
+    def _add_member(self, stored: stores.StoredObject) -> None:
         try:
             ip, _, port = stored.spec["address"].rpartition(":")
             address = (ip, int(port))
@@ -190,7 +193,7 @@
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             self._log.write(
                 "members",
-                "Passed over an entry.",
+                "Skipped an invalid entry.",
                 name=stored.name,
                 reason=repr(error),
             )
@@ -199,7 +202,7 @@
             name=stored.name,
             address=address,
             power=power,
-            seen_at=time.monotonic(),
+            changed_at=time.monotonic(),
             position=self._find_position(stored),
         )
 
@@ -208,15 +211,15 @@
             era=self._store.eras.newest, revision=stored.revision
         )
 
-    def _drop_lapsed(self) -> None:
+    def _drop_expired(self) -> None:
         now = time.monotonic()
         for member in list(self.member_by_name.values()):
-            lapsed = now - member.seen_at > _LAPSE_SECONDS
-            if lapsed and member.name != self._name:
+            is_expired = now - member.changed_at > _EXPIRY_SECONDS
+            if is_expired and member.name != self._name:
                 del self.member_by_name[member.name]
                 gevent.spawn(
                     self._store.delete, KIND, member.name, member.position
                 )
                 self._log.write(
-                    "members", "A router's entry lapsed.", name=member.name
+                    "members", "A router's entry expired.", name=member.name
                 )
--- a/packages/daisypick_router/src/daisypick_router/process.py
+++ b/packages/daisypick_router/src/daisypick_router/process.py
@@ -1,4 +1,4 @@
-"""The router process: wired, started and stopped."""
+"""The router process: creates, starts and stops its components."""
 
 from collections.abc import Collection
 import gc
@@ -42,20 +42,20 @@
 from daisypick_router import store_feed
 from daisypick_router import tries as try_rules
 
-# A server a few milliseconds away that does not accept in this time is down
-# or cut off; a lost opening packet would be sent again only after a second.
+# Servers are a few milliseconds away, so one that does not accept in this time
+# is down or unreachable. A lost SYN would be retransmitted only after 1 s.
 _CONNECT_SECONDS = 0.25
 _BACKLOG = 512
 _METRICS_TARGET = b"/metrics"
-# Part of the descriptors for callers' connections; each request needs one
-# more towards a server, and some are for the store and the other routers.
-_CALLER_SHARE = 0.45
+# Fraction of the file descriptors for callers' connections. Each request needs
+# another one for its server; the store and the other routers need some too.
+_CALLER_CONNECTION_FRACTION = 0.45
 _HOUSEKEEPING_SECONDS = 1.0
-# The platform takes a VM out after two questions a second apart; until then
-# new connections still come.
-_STOP_LISTENING_SECONDS = 2.6
-# Part of the time given to stop after which the last connections are cut.
-_STOP_SHARE = 0.95
+# The platform removes a VM after two readiness checks one second apart; until
+# then new connections still arrive.
+_LISTEN_AFTER_STOP_SECONDS = 2.6
+# Fraction of the grace period after which remaining connections are closed.
+_STOP_FRACTION = 0.95
 
 
 class RouterProcess:
@@ -71,7 +71,7 @@
         store = stores.StoreClient(address=settings.store_address, eras=eras)
         self.store = store
         self._pool = pools.Pool(connect_timeout=_CONNECT_SECONDS)
-        self._cold_parts = cold_parts.ColdParts()
+        self._cold_quotas = cold_parts.ColdParts()
         self._budget = retry_budget.RetryBudget(
             ratio=settings.bounds.retry_ratio,
             window_seconds=settings.bounds.retry_window_seconds,
@@ -90,7 +90,7 @@
             store=store,
             log=self.log,
             rng=rng,
-            on_servers=self._take_servers,
+            on_servers=self._update_servers,
             feed=self._feed,
         )
         self.membership = memberships.Membership(
@@ -100,7 +100,7 @@
             name=settings.name,
             address=(settings.ip, settings.peer_port),
             power=settings.processor,
-            on_change=self._take_members,
+            on_change=self._update_members,
         )
         outcomes = outcome_records.Outcomes()
         tries = try_rules.Tries(
@@ -109,9 +109,10 @@
             log=self.log,
             metrics=self.metrics,
         )
-        # Learned by either; a router that becomes host knows the engines.
+        # Shared, so that a router that becomes the host of a service already
+        # knows the engines' reading speeds.
         speed_by_service: dict[str, reading_speed.ServiceSpeed] = {}
-        self.hosted, self._alone = (
+        self.hosted, self._local_engines = (
             engine_servers.EngineServers(
                 discovery=self.discovery,
                 window_seconds=settings.bounds.quota_window_seconds,
@@ -126,7 +127,7 @@
             membership=self.membership,
             hosted=self.hosted,
             feed=self._feed,
-            alone=self._alone,
+            alone=self._local_engines,
             load=self.load,
             log=self.log,
             metrics=self.metrics,
@@ -148,7 +149,7 @@
                     discovery=self.discovery,
                     outcomes=outcomes,
                     cold=cold_limit.ColdLimit(
-                        router=settings.name, parts=self._cold_parts
+                        router=settings.name, parts=self._cold_quotas
                     ),
                     data_centre=settings.data_centre,
                     rng=rng,
@@ -172,36 +173,40 @@
         self._connections: dict[http_server.CallerConnection, None] = {}
         self._idle = idle_connections.IdleConnections()
         self._idle_closed = 0
-        self._most_connections = int(settings.most_files * _CALLER_SHARE)
+        self._max_connections = int(
+            settings.most_files * _CALLER_CONNECTION_FRACTION
+        )
         self._listeners: list[gevent_server.StreamServer] = []
         self._settings_watch = settings_watch.SettingsWatch(
-            settings=settings, log=self.log, on_change=self.take_settings
+            settings=settings, log=self.log, on_change=self.apply_settings
         )
         self.stopped = gevent_event.Event()
-        self._take_members()
+        self._update_members()
 
     def run(self) -> None:
         """Serve until the process is told to stop and has stopped."""
         gevent.signal_handler(signal.SIGTERM, self.begin_stop)
-        gevent.signal_handler(signal.SIGHUP, self._settings_watch.look_soon)
+        gevent.signal_handler(
+            signal.SIGHUP, self._settings_watch.request_reload
+        )
         gevent.spawn(self.log.run)
         self.start()
         self.stopped.wait()
         self.log.flush()
 
     def start(self) -> None:
-        """Begin to follow the platform and to listen."""
+        """Start all components and listen for connections."""
         self.log.write("process", "Started.", ip=self.settings.ip)
         self.discovery.start()
         self.membership.start()
         self.hosted.start()
-        self._alone.start()
+        self._local_engines.start()
         self.placing.start()
         self.peer_host.start()
         self.load.start()
         self._intake.start()
         self._settings_watch.start()
-        gevent.spawn(self._keep_house)
+        gevent.spawn(self._run_housekeeping)
         self._listen(self.settings.caller_address, self._serve_caller)
         self._listen(self.settings.ready_address, self._serve_platform)
         self._listen(
@@ -228,10 +233,10 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether the platform may send callers to this router."""
         return (
             self.discovery.configuration is not None
-            and self.discovery.has_servers
+            and self.discovery.has_server_list
             and self.serving.stopping_since is None
             and self.load.overload.is_ready
         )
@@ -254,7 +259,7 @@
         )
         self._connections[connection] = None
         self._idle.note(connection, True)
-        if len(self._connections) > self._most_connections:
+        if len(self._connections) > self._max_connections:
             self._close_idle()
         try:
             connection.run()
@@ -306,27 +311,27 @@
         self.metrics.set_level("server_connections_reused", self._pool.reused)
         return self.metrics.write().encode()
 
-    def _take_servers(self, names: Collection[str] | None) -> None:
+    def _update_servers(self, names: Collection[str] | None) -> None:
         self.hosted.update_servers(names)
-        self._alone.update_servers(names)
+        self._local_engines.update_servers(names)
 
-    def _take_members(self) -> None:
+    def _update_members(self) -> None:
         routers = self.membership.routers
         names = self.membership.names
-        self._cold_parts.set_routers(names)
+        self._cold_quotas.set_routers(names)
         self._budget.set_fleet(routers=routers)
         self.hosted.set_fleet(routers=names, share=1.0)
-        self._alone.set_fleet(routers=names, share=1.0 / routers)
+        self._local_engines.set_fleet(routers=names, share=1.0 / routers)
         self.placing.links.update()
 
-    def _keep_house(self) -> None:
+    def _run_housekeeping(self) -> None:
         while True:
             gevent.sleep(_HOUSEKEEPING_SECONDS)
             self._pool.close_stale()
             self.log.write(
                 "process",
                 "Load.",
-                lag_seconds=round(self.load.take_most_lag(), 3),
+                lag_seconds=round(self.load.take_max_lag(), 3),
                 intake_seconds=round(
                     self._intake.find_wait(time.monotonic()), 3
                 ),
@@ -337,10 +342,10 @@
             )
             self._idle_closed = 0
 
-    def take_settings(self, settings: platform_settings.Settings) -> None:
-        """Put changed settings in force, without touching a connection.
+    def apply_settings(self, settings: platform_settings.Settings) -> None:
+        """Apply changed settings without closing any connection.
 
-        Addresses and the name are the process's for its life.
+        Addresses and the name cannot change while the process runs.
         """
         self.settings = settings
         bounds = settings.bounds
@@ -349,10 +354,12 @@
             window_seconds=bounds.retry_window_seconds,
             extra=bounds.retry_extra,
         )
-        self._most_connections = int(settings.most_files * _CALLER_SHARE)
+        self._max_connections = int(
+            settings.most_files * _CALLER_CONNECTION_FRACTION
+        )
 
     def begin_stop(self) -> None:
-        """Stop gracefully; ``stopped`` is set when it is done."""
+        """Start a graceful stop; ``stopped`` is set when it has finished."""
         if self.serving.stopping_since is not None:
             return
         self.log.write("process", "Stopping.", running=self.serving.running)
@@ -364,25 +371,27 @@
         gevent.spawn(self._stop)
 
     def _stop(self) -> None:
-        """End gracefully: no new callers, then idle ones, then the rest."""
-        began = time.monotonic()
+        """Close the listener, then idle connections, then await the rest."""
+        stop_began_at = time.monotonic()
         gevent.spawn(self.membership.leave)
-        gevent.sleep(_STOP_LISTENING_SECONDS)
+        gevent.sleep(_LISTEN_AFTER_STOP_SECONDS)
         self._refuse_connections()
         for connection in list(self._connections):
             connection.close_idle()
-        latest = began + self.settings.bounds.grace_seconds * _STOP_SHARE
-        while time.monotonic() < latest and self._connections:
+        deadline = (
+            stop_began_at + self.settings.bounds.grace_seconds * _STOP_FRACTION
+        )
+        while time.monotonic() < deadline and self._connections:
             gevent.sleep(0.05)
         self.serving.note_stopped()
         self.log.write("process", "Stopped.", running=self.serving.running)
         self.stopped.set()
 
     def _refuse_connections(self) -> None:
-        """Take the callers that have connected, and refuse any more.
+        """Accept the connections in the backlog, then close the listener.
 
-        A listener that only stops to accept keeps callers waiting for an
-        answer on connections that nobody reads, until the process ends.
+        If the listener only stopped accepting, callers in the backlog would
+        wait on connections that nobody reads until the process ends.
         """
         listener = self._listeners[0]
         listener.stop_accepting()
--- a/packages/daisypick_router/src/daisypick_router/settings_watch.py
+++ b/packages/daisypick_router/src/daisypick_router/settings_watch.py
@@ -1,7 +1,7 @@
-"""Changes of the settings file, told by a signal or not at all.
+"""Detects changes of the settings file, with or without a signal.
 
-The file is small and local, so it is read every few seconds; SIGHUP only makes
-that sooner. A file that is missing, half written or faulty changes nothing.
+The file is small and local, so it is polled; SIGHUP triggers an immediate
+read. A missing, partly written or invalid file changes nothing.
 """
 
 from collections.abc import Callable
@@ -13,13 +13,13 @@
 from daisypick_platform import settings as platform_settings
 from daisypick_router import log as logs
 
-# Operators allow two seconds for a change of the configuration; settings
-# change far more seldom.
+# Same as the 2 s allowed for a change of the configuration to be in force;
+# settings change far less often.
 _PERIOD_SECONDS = 2.0
 
 
 class SettingsWatch:
-    """Calls ``on_change(settings)`` when they differ from the last ones."""
+    """Calls ``on_change(settings)`` when the file's settings have changed."""
 
     def __init__(
         self,
@@ -31,46 +31,49 @@
         self._settings = settings
         self._log = log
         self._on_change = on_change
-        self._asked = event.Event()
-        self._unreadable = ""
+        self._requested = event.Event()
+        self._last_error = ""
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start polling the file."""
         gevent.spawn(self._run)
 
-    def look_soon(self) -> None:
-        """Look at once; called on SIGHUP."""
-        self._asked.set()
+    def request_reload(self) -> None:
+        """Read the file at once; called on SIGHUP."""
+        self._requested.set()
 
     def _run(self) -> None:
         while True:
-            self._asked.wait(_PERIOD_SECONDS)
-            asked = self._asked.is_set()
-            self._asked.clear()
-            self.look(asked=asked)
+            self._requested.wait(_PERIOD_SECONDS)
+            is_requested = self._requested.is_set()
+            self._requested.clear()
+            self.reload(is_requested=is_requested)
 
-    def look(self, *, asked: bool) -> None:
-        """Read the file and take what changed."""
+    def reload(self, *, is_requested: bool) -> None:
+        """Read the file and apply changes.
+
+        Unchanged or still invalid settings are logged only if ``is_requested``.
+        """
         loaded = platform_settings.load()
         if failure.is_failure(loaded):
-            if asked or loaded.reason != self._unreadable:
+            if is_requested or loaded.reason != self._last_error:
                 self._log.write(
                     "process",
-                    "Settings are unreadable; the last ones stand.",
+                    "Invalid settings; the last valid ones stay in force.",
                     code=loaded.code.number,
                     reason=loaded.reason,
                 )
-            self._unreadable = loaded.reason
+            self._last_error = loaded.reason
             return
-        self._unreadable = ""
+        self._last_error = ""
         changed = [
             name
             for name in loaded._fields
             if getattr(loaded, name) != getattr(self._settings, name)
         ]
-        if asked or changed:
+        if is_requested or changed:
             self._log.write(
-                "process", "Read the settings again.", changed=changed
+                "process", "Reloaded the settings.", changed=changed
             )
         if changed:
             self._settings = loaded
--- a/packages/daisypick_router/tests/test_process.py
+++ b/packages/daisypick_router/tests/test_process.py
@@ -1,4 +1,4 @@
-"""Callers' connections and descriptors of one router, against stand-ins."""
+"""Caller connections and file descriptors of one router, with stand-ins."""
 
 import time
 
@@ -40,21 +40,21 @@
 
 
 def _note_unanswered(router):
-    """Return the list that gets the lines of requests without an answer."""
+    """Return a list that collects log lines of requests without a response."""
     lines = []
     write = router.log.write
 
-    def _write(part, say, **fields):
+    def _write(part, text, **fields):
         if part == "connection":
             lines.append(fields)
-        write(part, say, **fields)
+        write(part, text, **fields)
 
     router.log.write = _write
     return lines
 
 
 def test_request_whose_stream_is_cut_is_logged(store):
-    """Guards against answers that end early without a trace (LOST)."""
+    """Guards against truncated responses that are not logged (LOST)."""
 
     def _break_off(server, connection, first, headers, body):
         fakes.begin_stream(server, connection, headers)
@@ -72,7 +72,7 @@
 
 
 def test_requests_that_end_with_the_process_are_logged(store):
-    """Guards against requests cut by a stop without a trace (LOST)."""
+    """Guards against requests ended by a stop that are not logged (LOST)."""
     router = _serve(store, _assist(_hang))
     lines = _note_unanswered(router)
     with fakes.connect(router) as caller:
@@ -85,8 +85,8 @@
         assert line["reason"] == "the process stops"
 
 
-def test_request_that_was_never_begun_is_logged(store):
-    """Guards against requests dropped with their connection, untraced."""
+def test_request_that_never_began_is_logged(store):
+    """Guards against unlogged requests dropped with their connection."""
     router = _serve(store, _desk(fakes.answer_ok))
     lines = _note_unanswered(router)
     router._intake.add = lambda handler, request: None
@@ -101,7 +101,7 @@
 
 @pytest.mark.parametrize("path", ["/look/1", "/reserve/1", "/ask/1"])
 def test_request_is_refused_when_descriptors_run_out(store, path):
-    """Guards against cut connections for want of a descriptor (LOST)."""
+    """Guards against connections closed for lack of descriptors (LOST)."""
     desk, engine = _desk(fakes.answer_ok), _assist(fakes.stream_five)
     router = _serve(store, desk, engine)
     with fakes.connect(router) as caller:
@@ -118,10 +118,11 @@
 
 
 def test_idle_connections_do_not_take_all_descriptors(store):
-    """Callers open a connection for each request and leave it idle.
+    """Guards against idle connections that lock out new callers.
 
-    When they have taken their part of the descriptors, those idle for the
-    longest time are closed; new callers still get in.
+    Callers open a connection for each request and leave it idle. When their
+    fraction of the file descriptors is used up, the connections idle for the
+    longest time are closed.
     """
     router = _serve(store, _desk(fakes.answer_ok), most_files=100)
     idle = []
@@ -141,13 +142,15 @@
     assert fakes.read_answer(idle[-1]).served
 
 
-def test_new_connection_costs_the_same_among_many(store, monkeypatch):
-    """Guards against a VM that does nothing but look for idle ones (FAIR)."""
-    looks = []
+def test_cost_of_accepting_does_not_grow_with_open_connections(
+    store, monkeypatch
+):
+    """Guards against a VM that only searches for idle connections (FAIR)."""
+    checked = []
     is_idle = http_server.CallerConnection.is_idle.fget
 
     def _count(connection):
-        looks.append(connection)
+        checked.append(connection)
         return is_idle(connection)
 
     monkeypatch.setattr(
@@ -163,15 +166,15 @@
         callers.append(fakes.connect(router))
         callers[-1].sendall(half)
     fakes.wait_for(lambda: len(router._connections) == len(callers))
-    looks.clear()
+    checked.clear()
     late = [fakes.connect(router) for _ in range(10)]
-    fakes.wait_for(lambda: looks)
+    fakes.wait_for(lambda: checked)
     gevent.sleep(0.1)
-    assert len(looks) <= 16 * len(late)
+    assert len(checked) <= 16 * len(late)
 
 
-def test_connection_that_ended_is_forgotten(store):
-    """Guards against memory that grows with callers that leave early."""
+def test_ended_connection_is_removed(store):
+    """Guards against a memory leak when callers disconnect early."""
     router = _serve(store, _assist(_hang))
     with fakes.connect(router) as caller:
         caller.sendall(fakes.write_request("/ask/1"))
@@ -182,10 +185,11 @@
 
 
 def test_idle_connection_with_an_unread_request_is_not_closed(store):
-    """Descriptors run short while the router is busy and reads late.
+    """Guards against closing a connection that holds an unread request.
 
-    A caller's next request already lies on its idle connection. Closing that
-    one would leave the caller without an answer; the next one is closed.
+    The router is busy and reads late when it runs out of file descriptors, and
+    a caller has already sent its next request on an idle connection. The next
+    idle connection is closed instead.
     """
     router = _serve(store, _desk(fakes.answer_ok), most_files=100)
     idle = []
@@ -196,7 +200,7 @@
         )
         assert fakes.read_answer(connection).served
         idle.append(connection)
-    # No greenlet switch between the request and the look at idle connections,
+    # No greenlet switch between the request and the check of idle connections,
     # as on a VM that was busy with something else.
     plain = idle[0]._sock
     plain.sendall(fakes.write_request("/look/1", attempt="a-98"))
--- a/packages/daisypick_router/tests/test_settings_watch.py
+++ b/packages/daisypick_router/tests/test_settings_watch.py
@@ -29,35 +29,35 @@
     monkeypatch.setenv(platform_settings.VARIABLE, str(path))
     router = fakes.make_router(fakes.FakeStore())
     router.path = path
-    router._settings_watch.look(asked=False)
+    router._settings_watch.reload(is_requested=False)
     return router
 
 
-def test_change_without_a_signal_is_in_force(router):
-    """The platform writes the file anew and tells nobody."""
+def test_change_without_a_signal_is_applied(router):
+    """Guards against changes missed because the platform sent no signal."""
     assert router._budget.take("desk", 0.0)
     router.path.write_text(_FILE.format(files=400, grace=5, extra=0))
-    router._settings_watch.look(asked=False)
+    router._settings_watch.reload(is_requested=False)
     assert router.settings.bounds.grace_seconds == 5.0
-    assert router._most_connections == 180
+    assert router._max_connections == 180
     assert not router._budget.take("desk", 0.1)
 
 
-def test_signal_makes_it_sooner(router):
+def test_signal_triggers_an_immediate_reload(router):
     router._settings_watch.start()
     router.path.write_text(_FILE.format(files=400, grace=5, extra=0))
-    router._settings_watch.look_soon()
+    router._settings_watch.request_reload()
     fakes.wait_for(lambda: router.settings.most_files == 400, 0.5)
 
 
 @pytest.mark.parametrize("text", ["", "NodeName = ", _FILE[:60]])
-def test_faulty_file_changes_nothing_and_is_told_once(router, text):
-    """The file is read while it is half written, or is faulty for good."""
+def test_invalid_file_changes_nothing_and_is_logged_once(router, text):
+    """Guards against use of a partly written or invalid settings file."""
     before = router.settings
-    said = []
-    router._settings_watch._log.write = lambda *words, **more: said.append(more)
+    lines = []
+    router._settings_watch._log.write = lambda *_, **keys: lines.append(keys)
     router.path.write_text(text)
     for _ in range(3):
-        router._settings_watch.look(asked=False)
+        router._settings_watch.reload(is_requested=False)
     assert router.settings == before
-    assert [line["code"] > 0 for line in said] == [True]
+    assert [line["code"] > 0 for line in lines] == [True]
