--- a/packages/daisypick_router/src/daisypick_router/peer_link.py
+++ b/packages/daisypick_router/src/daisypick_router/peer_link.py
@@ -31,7 +31,7 @@
 class PeerLink:
     """Maintains a connection to one router and the requests waiting for it.
 
-    ``on_up(link)`` is called when a connection is established, to report the
+    ``on_up(link)`` is called when a connection is established, to report
     running requests to the host; ``on_feed(message)`` is called for each change
     of the store that it forwards; ``on_leaving(link)`` is called when it
     announces that it stops.
--- a/packages/daisypick_router/src/daisypick_router/process.py
+++ b/packages/daisypick_router/src/daisypick_router/process.py
@@ -184,7 +184,7 @@
         self._update_members()
 
     def run(self) -> None:
-        """Serve until the process is told to stop and has stopped."""
+        """Serve until a graceful stop has finished."""
         gevent.signal_handler(signal.SIGTERM, self.begin_stop)
         gevent.signal_handler(
             signal.SIGHUP, self._settings_watch.request_reload
--- a/packages/daisypick_router/src/daisypick_router/store_feed.py
+++ b/packages/daisypick_router/src/daisypick_router/store_feed.py
@@ -57,7 +57,7 @@
 
     ``find_lag()`` returns the lag of this process's event loop, which is added
     to the age of each confirmation that is received or forwarded. ``origin``
-    differs for each process, since each numbers its messages from 1.
+    is unique to a process, since each process numbers its messages from 1.
 
     Attributes:
         is_following: Whether another router forwards changes to this one.
