--- a/packages/daisypick_router/src/daisypick_router/metrics.py
+++ b/packages/daisypick_router/src/daisypick_router/metrics.py
@@ -33,7 +33,7 @@
         key = (name, tuple(sorted(labels.items())))
         self._value_by_key[key] = self._value_by_key.get(key, 0) + amount
 
-    def set_level(self, name: str, value: float, **labels: str) -> None:
+    def set_gauge(self, name: str, value: float, **labels: str) -> None:
         """Set a gauge."""
         self._value_by_key[(name, tuple(sorted(labels.items())))] = value
 
--- a/packages/daisypick_router/src/daisypick_router/process.py
+++ b/packages/daisypick_router/src/daisypick_router/process.py
@@ -301,14 +301,14 @@
             connection.send_whole(status=404, headers=(), body=b"")
 
     def _write_metrics(self) -> bytes:
-        self.metrics.set_level("routers", self.membership.routers)
-        self.metrics.set_level("store_followers", self._feed.followers)
-        self.metrics.set_level("store_era", self.store.eras.newest)
-        self.metrics.set_level("connections", len(self._connections))
-        self.metrics.set_level("requests_running", self.serving.running)
-        self.metrics.set_level("timer_lag_seconds", self.load.overload.lag)
-        self.metrics.set_level("server_connections_opened", self._pool.opened)
-        self.metrics.set_level("server_connections_reused", self._pool.reused)
+        self.metrics.set_gauge("routers", self.membership.routers)
+        self.metrics.set_gauge("store_followers", self._feed.followers)
+        self.metrics.set_gauge("store_era", self.store.eras.newest)
+        self.metrics.set_gauge("connections", len(self._connections))
+        self.metrics.set_gauge("requests_running", self.serving.running)
+        self.metrics.set_gauge("timer_lag_seconds", self.load.overload.lag)
+        self.metrics.set_gauge("server_connections_opened", self._pool.opened)
+        self.metrics.set_gauge("server_connections_reused", self._pool.reused)
         return self.metrics.write().encode()
 
     def _update_servers(self, names: Collection[str] | None) -> None:
