--- a/packages/daisypick_cli/src/daisypick_cli/applying.py
+++ b/packages/daisypick_cli/src/daisypick_cli/applying.py
@@ -1,11 +1,11 @@
-"""Bring a folder, or one change, into force.
+"""Apply a folder, or a single change, to the stored configuration.
 
 An apply replaces the whole stored configuration, so a folder that lacks what
-another operator has applied would undo it. Therefore an apply compares three
-configurations: what this folder applied last, what is stored now, and the
-folder. What others changed in between and the folder would undo is a
-conflict, told key by key; after their files are merged into the folder, the
-same apply goes through.
+another operator has applied would revert it. An apply is therefore a
+three-way comparison of the configuration that this folder applied last, the
+stored one and the folder. Changes by others that the folder would revert are
+a conflict, listed key by key. Once their files are merged into the folder,
+the same apply succeeds.
 """
 
 import pathlib
@@ -23,18 +23,18 @@
 from daisypick_core.results import failure as failure_value
 from daisypick_node import configuration_store
 
-_RACES = 10
+_MAX_ATTEMPTS = 10
 
 
 class Applied(typing.NamedTuple):
-    """A change that is in force, or on its way.
+    """A change that the store has accepted.
 
     Attributes:
         generation: Its generation.
         is_new: ``False`` if there was nothing to change.
-        changes: What it changed.
-        told: Processes that were told of it and have it.
-        asked: Processes that were asked to take it.
+        changes: Differences from the configuration before it.
+        told: Notified processes that have confirmed the generation.
+        asked: Processes that were notified.
     """
 
     generation: int
@@ -48,10 +48,10 @@
 
 
 class Applier:
-    """Applies to one platform and its fleet.
+    """Applies configurations to one platform and its fleet.
 
     Attributes:
-        publisher: Writes to the store.
+        publisher: Reads from and writes to the store.
     """
 
     def __init__(
@@ -70,13 +70,13 @@
         *,
         overwrite: int | None = None,
     ) -> Outcome:
-        """Put a folder's configuration in force.
+        """Apply the configuration of a folder.
 
         Args:
-            path: The folder, for its record.
-            wanted: Its configuration.
-            overwrite: Generation up to which changes of others may be
-                undone.
+            path: The folder, which holds the record of its last apply.
+            wanted: The folder's configuration.
+            overwrite: Generation up to which changes by others may be
+                reverted.
         """
         stored = self.publisher.read()
         if failure_value.is_failure(stored):
@@ -89,20 +89,21 @@
         outcome = self._publish(wanted, stored)
         if isinstance(outcome, publication.Published):
             folder_files.write_record(path, outcome.root)
-            return self._spread(outcome, stored.configuration, wanted)
+            return self._notify_processes(outcome, stored.configuration, wanted)
         return outcome
 
     def set_data_centre(self, name: str, *, is_in: bool) -> Outcome:
-        """Take a data centre out, or in, and change nothing else.
+        """Take a data centre out of or into service; change nothing else.
 
-        A race is no conflict here, unless another one wants the same data
-        centre otherwise: the change is made again on top of the new state.
+        A concurrent write is no conflict here, unless it changes the state
+        of the same data centre: the change is retried on top of it.
         """
         seen: bool | None = None
         outcome: Outcome = failure_value.Failure(
-            code=codes.CONFIGURATION_CONFLICT, reason="lost every race"
+            code=codes.CONFIGURATION_CONFLICT,
+            reason="concurrent writes won every attempt",
         )
-        for _ in range(_RACES):
+        for _ in range(_MAX_ATTEMPTS):
             stored = self.publisher.read()
             if failure_value.is_failure(stored):
                 return stored
@@ -110,7 +111,7 @@
             if entry is None:
                 return failure_value.Failure(
                     code=codes.DANGLING_NAME,
-                    reason=f"no data centre {name!r} is in force",
+                    reason=f"the store has no data centre {name!r}",
                 )
             if seen not in (None, entry.is_in):
                 return outcome
@@ -120,8 +121,8 @@
             )
             outcome = self._publish(wanted, stored)
             if isinstance(outcome, publication.Published):
-                return self._spread(
-                    outcome, stored.configuration, wanted, urgent=name
+                return self._notify_processes(
+                    outcome, stored.configuration, wanted, notify_all_in=name
                 )
             if not isinstance(outcome, publication.Conflict):
                 return outcome
@@ -132,45 +133,50 @@
         wanted: model.Configuration,
         stored: configuration_store.StoredConfiguration,
     ) -> publication.Outcome:
-        floor = 0
+        known_generation = 0
         if self._processes is not None:
-            known = fleet.choose(stored.configuration, 1)
-            floor = fleet.highest(
-                self._processes.each(self._processes.generation, known)
+            known = fleet.choose_agents(stored.configuration, 1)
+            known_generation = fleet.highest_generation(
+                self._processes.call_each(self._processes.generation, known)
             )
-        return self.publisher.publish(wanted, stored, floor=floor)
+        return self.publisher.publish(
+            wanted, stored, known_generation=known_generation
+        )
 
-    def _spread(
+    def _notify_processes(
         self,
         published: publication.Published,
         before: model.Configuration,
         wanted: model.Configuration,
         *,
-        urgent: str = "",
+        notify_all_in: str = "",
     ) -> Applied:
-        """Tell some processes, so that the store is not needed any more.
+        """Notify some processes, so that the change spreads without the store.
 
         Args:
-            published: What was accepted.
+            published: The accepted change.
             before: The configuration before it.
             wanted: The configuration that was accepted.
-            urgent: A data centre whose agents are all told. They are the
-                gates: once they know, nothing new starts there, whatever the
-                rest of the fleet still believes.
+            notify_all_in: A data centre whose agents are all notified.
+                Agents admit requests: once they have the change, nothing new
+                starts there, even if other processes still have the old
+                state.
         """
         told = asked = 0
         if self._processes is not None:
             offer = wire.RootAnswer(
                 root=published.root, chunk_by_hash=published.chunk_by_hash
             )
-            addresses = fleet.choose(wanted, fleet.TOLD_PER_DATA_CENTRE)
+            addresses = fleet.choose_agents(
+                wanted, fleet.NOTIFIED_PER_DATA_CENTRE
+            )
             addresses += [
                 server.agent
                 for server in wanted.backend_servers_by_name.values()
-                if server.data_centre == urgent
+                if server.data_centre == notify_all_in
                 and server.agent not in addresses
             ]
-            replies = self._processes.each(
+            replies = self._processes.call_each(
                 lambda address: self._processes.offer(address, offer),
                 addresses,
             )
@@ -206,19 +212,19 @@
     current = stored.configuration
     base = _find_base(record, stored)
     if base is not None:
-        undone = difference.find_overwritten(base, current, wanted)
-        reason = "the folder would undo what others changed"
+        reverted = difference.find_overwritten(base, current, wanted)
+        reason = "the folder would revert changes by others"
     else:
-        undone = difference.find_changes(wanted, current)
-        reason = "it is not known what this folder applied last"
-    if not undone:
+        reverted = difference.find_changes(wanted, current)
+        reason = "the configuration last applied from the folder is unknown"
+    if not reverted:
         return None
     return publication.Conflict(
         failure=failure_value.Failure(
             code=codes.CONFIGURATION_CONFLICT, reason=reason
         ),
         generation=current.generation,
-        changes=tuple(undone),
+        changes=tuple(reverted),
     )
 
 
@@ -226,7 +232,7 @@
     record: root_object.Root | None,
     stored: configuration_store.StoredConfiguration,
 ) -> model.Configuration | None:
-    """Return what the folder applied last, if the store still has it."""
+    """Return the configuration applied last, if the store still has it."""
     if record is None:
         return None
     if record.top == stored.root.top:
--- a/packages/daisypick_cli/src/daisypick_cli/commands/__init__.py
+++ b/packages/daisypick_cli/src/daisypick_cli/commands/__init__.py
@@ -1,6 +1,6 @@
-"""The commands, one module a group; each has ``COMMANDS``.
+"""The commands, one module per group; each module has ``COMMANDS``.
 
-* ``base``: options, output and exit codes that they share.
+* ``base``: shared options, output and exit codes.
 * ``folder_commands``: ``check``, ``diff``, ``apply``, ``show``.
 * ``data_centre``: ``data-centre out`` and ``data-centre in``.
 * ``inspection``: ``status``, ``dump``, ``explain``.
--- a/packages/daisypick_cli/src/daisypick_cli/commands/base.py
+++ b/packages/daisypick_cli/src/daisypick_cli/commands/base.py
@@ -1,4 +1,4 @@
-"""Options, output and exit codes that the commands share."""
+"""Options, output and exit codes shared by the commands."""
 
 from collections.abc import Iterable
 import os
@@ -26,7 +26,7 @@
 from daisypick_node.platform import http as _http_platform  # noqa: F401
 from daisypick_node.platform import interface
 
-# An apply reads some packs at once and is then done.
+# An apply reads its packs in one burst and then makes few further calls.
 _CALLS_PER_SECOND = 50.0
 _BURST = 500.0
 
@@ -50,13 +50,13 @@
 )
 CA_OPTION = helpers.option(
     "tls-ca",
-    description="CA file to check processes with [DAISYPICK_TLS_CA].",
+    description="CA file to verify processes with [DAISYPICK_TLS_CA].",
     flag=False,
 )
 WAIT_OPTION = helpers.option(
     "wait",
     description="Seconds to wait for the platform; default: "
-    f"{publication.PATIENCE_SECONDS:.0f}.",
+    f"{publication.RETRY_TIMEOUT_SECONDS:.0f}.",
     flag=False,
 )
 STORE_OPTIONS = [
@@ -69,7 +69,7 @@
 
 
 def explain_exit_codes(*numbers: int) -> str:
-    """Return the part of a help text that tells the exit codes."""
+    """Return the section of a help text that lists the exit codes."""
     lines = [
         f"  {number}  {exit_codes.MEANING_BY_CODE[number]}"
         for number in (exit_codes.OK, exit_codes.USAGE, *numbers)
@@ -78,10 +78,10 @@
 
 
 class OperatorCommand(command.Command):
-    """A command of the operators."""
+    """Base class of the operators' commands."""
 
     def setting(self, name: str, default: str = "") -> str:
-        """Return an option, else its environment variable."""
+        """Return an option, its environment variable or the default."""
         given = self.option(name) if self._has_option(name) else None
         variable = "DAISYPICK_" + name.replace("-", "_").upper()
         return given or os.environ.get(variable, "") or default
@@ -95,26 +95,26 @@
         """The operators' folder."""
         return pathlib.Path(self.setting("folder", "configuration"))
 
-    def say(self, value: object, lines: Iterable[str]) -> None:
-        """Print a value as JSON if asked for, else the lines."""
+    def print_output(self, value: object, lines: Iterable[str]) -> None:
+        """Print a value as JSON with ``--json``, else print the lines."""
         if self.option("json"):
             lines = [msgspec.json.encode(value).decode()]
         for line in lines:
             self.io.write_line(line, type=cleo_output.Type.RAW)
 
-    def fail(self, failure: failure_value.Failure) -> int:
-        """Tell of a failure and return its exit code."""
+    def report_failure(self, failure: failure_value.Failure) -> int:
+        """Print a failure and return its exit code."""
         value = {
             "code": failure.code.number,
             "title": failure.code.title,
             "reason": failure.reason,
         }
         text = f"{failure.code.title}: {failure.reason}"
-        self._complain(value, [f"{text} [{failure.code.number}]"])
+        self._print_error(value, [f"{text} [{failure.code.number}]"])
         return exit_codes.of_failure(failure)
 
-    def fail_check(self, checked: check.Checked) -> int:
-        """Tell of all faults of a folder."""
+    def report_faults(self, checked: check.Checked) -> int:
+        """Print all faults of a folder and return the exit code."""
         faults = [
             {
                 "file": fault.file,
@@ -124,11 +124,11 @@
             }
             for fault in checked.faults
         ]
-        self._complain({"faults": faults}, map(str, checked.faults))
+        self._print_error({"faults": faults}, map(str, checked.faults))
         return exit_codes.FAULTS
 
-    def fail_conflict(self, conflict: publication.Conflict) -> int:
-        """Tell of a lost race and of what others changed."""
+    def report_conflict(self, conflict: publication.Conflict) -> int:
+        """Print a conflict and what others changed; return the exit code."""
         value = {
             "code": conflict.failure.code.number,
             "reason": conflict.failure.reason,
@@ -137,18 +137,18 @@
         }
         lines = [
             f"{conflict.failure.code.title}: {conflict.failure.reason}; "
-            f"in force is generation {conflict.generation}:",
+            f"generation {conflict.generation} is in force:",
             *(f"  {change}" for change in conflict.changes),
-            "Merge their files into the folder and apply again, or undo "
+            "Merge their files into the folder and apply again, or revert "
             f"their changes with --overwrite {conflict.generation}.",
         ]
-        self._complain(value, lines)
+        self._print_error(value, lines)
         return exit_codes.CONFLICT
 
-    def _complain(self, value: object, lines: Iterable[str]) -> None:
-        """Print to standard error, JSON to standard output."""
+    def _print_error(self, value: object, lines: Iterable[str]) -> None:
+        """Print lines to standard error, or JSON to standard output."""
         if self.option("json"):
-            self.say(value, [])
+            self.print_output(value, [])
             return
         for line in lines:
             self.io.write_error_line(line, type=cleo_output.Type.RAW)
@@ -156,17 +156,19 @@
     def make_publisher(
         self,
     ) -> publication.Publisher | failure_value.Failure:
-        """Return the writer to the platform in the settings."""
+        """Return a publisher for the platform in the settings."""
         address = self.setting("platform")
         name = self.setting("platform-client", "http")
         factory = interface.by_name.get(name)
         if factory is None:
             known = ", ".join(sorted(interface.by_name))
-            return _bad_setting(f"platform-client: {name!r} is not of: {known}")
+            return _bad_setting(
+                f"platform-client: {name!r} is not one of: {known}"
+            )
         budget = call_budget.CallBudget(rate=_CALLS_PER_SECOND, burst=_BURST)
         try:
             patience = float(
-                self.setting("wait", str(publication.PATIENCE_SECONDS))
+                self.setting("wait", str(publication.RETRY_TIMEOUT_SECONDS))
             )
             client = factory(address=address, budget=budget)
         except ValueError as error:
@@ -180,7 +182,7 @@
         )
 
     def make_applier(self) -> applying.Applier | failure_value.Failure:
-        """Return what applies to the platform and the fleet."""
+        """Return an applier for the platform and the fleet."""
         publisher = self.make_publisher()
         if failure_value.is_failure(publisher):
             return publisher
@@ -190,13 +192,14 @@
         return applying.Applier(publisher=publisher, processes=processes)
 
     def make_processes(self) -> fleet.Processes | failure_value.Failure:
-        """Return the way to running processes.
+        """Return a client for running processes.
 
-        The key is never an option: command lines show in lists of processes.
+        The key is never an option: command lines are visible in process
+        lists.
         """
         key = os.environ.get("DAISYPICK_OPERATOR_KEY", "")
         if not key:
-            return _bad_setting("DAISYPICK_OPERATOR_KEY: is not set")
+            return _bad_setting("DAISYPICK_OPERATOR_KEY is not set")
         return fleet.Processes(
             operator_key=key, ca_file=self.setting("tls-ca") or None
         )
@@ -213,18 +216,18 @@
             return stored
         return stored.configuration
 
-    def tell_outcome(self, outcome: applying.Outcome) -> int:
-        """Print what came of an apply and return the exit code."""
+    def report_outcome(self, outcome: applying.Outcome) -> int:
+        """Print the outcome of an apply and return the exit code."""
         if isinstance(outcome, publication.Conflict):
-            return self.fail_conflict(outcome)
+            return self.report_conflict(outcome)
         if failure_value.is_failure(outcome):
-            return self.fail(outcome)
+            return self.report_failure(outcome)
         applied = typing.cast(applying.Applied, outcome)
         value = {
             **applied._asdict(),
             "changes": [str(change) for change in applied.changes],
         }
-        self.say(value, _outcome_lines(applied))
+        self.print_output(value, _outcome_lines(applied))
         return exit_codes.OK
 
 
@@ -232,11 +235,14 @@
     for change in applied.changes:
         yield f"  {change}"
     if applied.is_new:
-        yield f"Generation {applied.generation} is accepted."
+        yield f"Generation {applied.generation} was accepted."
     else:
-        yield f"Nothing to change; generation {applied.generation} stays."
+        yield (
+            f"Nothing to change; generation {applied.generation} "
+            "remains in force."
+        )
     if applied.asked:
-        yield f"{applied.told} of {applied.asked} processes told have it."
+        yield f"{applied.told} of {applied.asked} notified processes have it."
 
 
 def _bad_setting(reason: str) -> failure_value.Failure:
--- a/packages/daisypick_cli/src/daisypick_cli/commands/data_centre.py
+++ b/packages/daisypick_cli/src/daisypick_cli/commands/data_centre.py
@@ -9,9 +9,9 @@
 from daisypick_core.results import failure as failure_value
 
 _HELP = """\
-Writes a new file that sorts last in the folder and changes just this data
+Writes a new file that sorts last in the folder and changes only this data
 centre in the configuration in force. Other differences between the folder and
-the configuration in force neither hinder the change nor go with it.
+the configuration in force neither block the change nor are applied with it.
 
 Examples:
   daisypick data-centre {word} varna
@@ -35,10 +35,10 @@
         name = self.argument("data-centre")
         checked = folder_files.check_folder(self.folder)
         if checked.configuration is None:
-            return self.fail_check(checked)
+            return self.report_faults(checked)
         entry = checked.configuration.data_centres_by_name.get(name)
         if entry is None:
-            return self.fail(
+            return self.report_failure(
                 failure_value.Failure(
                     code=codes.DANGLING_NAME,
                     reason=f"the folder has no data centre {name!r}",
@@ -46,16 +46,16 @@
             )
         applier = self.make_applier()
         if failure_value.is_failure(applier):
-            return self.fail(applier)
+            return self.report_failure(applier)
         if entry.is_in != self.is_in:
-            # The wish is on disk before the platform is asked: if it is
-            # down, the next apply carries the change.
+            # The file is written before the platform is called: if the
+            # platform is unavailable, the next apply includes the change.
             file = folder_files.write_data_centre(
                 self.folder, name, is_in=self.is_in
             )
             if not self.option("json"):
                 self.line(f"Wrote {file}.")
-        return self.tell_outcome(
+        return self.report_outcome(
             applier.set_data_centre(name, is_in=self.is_in)
         )
 
--- a/packages/daisypick_cli/src/daisypick_cli/commands/folder_commands.py
+++ b/packages/daisypick_cli/src/daisypick_cli/commands/folder_commands.py
@@ -19,10 +19,10 @@
     """``daisypick check``."""
 
     name = "check"
-    description = "Check the folder as a whole; nothing is sent."
+    description = "Check the folder; nothing is sent."
     help = """\
 Merges the files of the folder in the order of their names and lists all
-faults, each with file, key, reason and code.
+faults with their file, key, reason and code.
 
 Examples:
   daisypick check --folder examples/configuration
@@ -34,13 +34,13 @@
         """Check the folder."""
         checked = folder_files.check_folder(self.folder)
         if checked.configuration is None:
-            return self.fail_check(checked)
+            return self.report_faults(checked)
         counts = {
             name: len(sections.entries_by_name(checked.configuration, name))
             for name in sections.by_name
         }
         lines = [f"{count} {name}" for name, count in counts.items()]
-        self.say({"faults": [], **counts}, [*lines, "No faults."])
+        self.print_output({"faults": [], **counts}, [*lines, "No faults."])
         return exit_codes.OK
 
 
@@ -50,8 +50,7 @@
     name = "diff"
     description = "Show what an apply of the folder would change."
     help = """\
-Compares the configuration in force, as the platform stores it, with the
-folder, key by key.
+Compares the configuration stored in the platform with the folder, key by key.
 
 Examples:
   daisypick diff --platform 10.0.0.5:8080
@@ -64,14 +63,14 @@
         """Compare the folder with the store."""
         checked = folder_files.check_folder(self.folder)
         if checked.configuration is None:
-            return self.fail_check(checked)
+            return self.report_faults(checked)
         current = self.read_stored()
         if failure_value.is_failure(current):
-            return self.fail(current)
+            return self.report_failure(current)
         changes = difference.find_changes(current, checked.configuration)
         texts = [str(change) for change in changes]
         value = {"generation": current.generation, "changes": texts}
-        self.say(value, texts or ["No difference."])
+        self.print_output(value, texts or ["No difference."])
         return exit_codes.DIFFERENT if changes else exit_codes.OK
 
 
@@ -79,17 +78,18 @@
     """``daisypick apply``."""
 
     name = "apply"
-    description = "Check the folder and put it in force."
+    description = "Check the folder and apply it."
     help = """\
-Stores what changed, then the root by one conditional update, and tells some
-processes of each data centre, so that the change spreads even if the platform
-goes down. An answer that was lost is settled by reading back. If others
-changed something that the folder would undo, nothing is done and their
-changes are listed; merge their files and apply again.
+Stores what changed, then replaces the root by one conditional update and
+notifies some processes of each data centre, so that the change spreads even
+if the platform becomes unavailable. If a response is lost, the root is read
+back to find out whether the update took effect. If the folder would revert
+changes by others, nothing is changed and they are listed; merge their files
+and apply again.
 
 Examples:
   daisypick apply --folder configuration --platform 10.0.0.5:8080
-  daisypick apply --overwrite 41      (undo what others did up to 41)
+  daisypick apply --overwrite 41      (revert changes by others up to 41)
 """ + base.explain_exit_codes(
         exit_codes.FAULTS,
         exit_codes.CONFLICT,
@@ -100,7 +100,8 @@
         base.FOLDER_OPTION,
         helpers.option(
             "overwrite",
-            description="Generation up to which changes of others are undone.",
+            description="Generation up to which changes by others are "
+            "reverted.",
             flag=False,
         ),
         *base.STORE_OPTIONS,
@@ -110,29 +111,29 @@
         """Apply the folder."""
         checked = folder_files.check_folder(self.folder)
         if checked.configuration is None:
-            return self.fail_check(checked)
+            return self.report_faults(checked)
         overwrite = self.option("overwrite")
         if overwrite is not None and not overwrite.isdecimal():
-            self.line_error("--overwrite must be a generation, a number")
+            self.line_error("--overwrite: not a generation number")
             return exit_codes.USAGE
         applier = self.make_applier()
         if failure_value.is_failure(applier):
-            return self.fail(applier)
+            return self.report_failure(applier)
         outcome = applier.apply(
             self.folder,
             checked.configuration,
             overwrite=None if overwrite is None else int(overwrite),
         )
-        return self.tell_outcome(outcome)
+        return self.report_outcome(outcome)
 
 
 class ShowCommand(base.OperatorCommand):
     """``daisypick show``."""
 
     name = "show"
-    description = "Show the merged folder and the file of each value."
+    description = "Show the merged folder and the file that sets each value."
     help = """\
-A value that no file gives is marked (default).
+A value that no file sets is marked (default).
 
 Examples:
   daisypick show
@@ -147,14 +148,14 @@
     options = [base.FOLDER_OPTION, base.JSON_OPTION]
 
     def handle(self) -> int:
-        """Show values and files."""
+        """Print the values and their files."""
         checked = folder_files.check_folder(self.folder)
         if checked.configuration is None:
-            return self.fail_check(checked)
+            return self.report_faults(checked)
         prefix = self.argument("prefix") or ""
         shown = {
             key: {"value": value, "file": file}
-            for key, value, file in _values(checked)
+            for key, value, file in _list_values(checked)
             if key == prefix or key.startswith(f"{prefix}." if prefix else "")
         }
         lines = [
@@ -162,12 +163,14 @@
             f"    # {entry['file']}"
             for key, entry in shown.items()
         ]
-        self.say(shown, lines)
+        self.print_output(shown, lines)
         return exit_codes.OK
 
 
-def _values(checked: check.Checked) -> Iterator[tuple[str, typing.Any, str]]:
-    """Yield dotted key, value and file of each value."""
+def _list_values(
+    checked: check.Checked,
+) -> Iterator[tuple[str, typing.Any, str]]:
+    """Yield the dotted key, the value and the file of each value."""
     for section in sections.by_name.values():
         entries = sections.entries_by_name(checked.configuration, section.name)
         for name, entry in sorted(entries.items()):
--- a/packages/daisypick_cli/src/daisypick_cli/commands/inspection.py
+++ b/packages/daisypick_cli/src/daisypick_cli/commands/inspection.py
@@ -17,35 +17,35 @@
 )
 _ROUTERS_OPTION = helpers.option(
     "router",
-    description="Address of a router to ask, host:port; may be repeated. "
-    "Without it, those that the agents know of are asked.",
+    description="Address of a router to query, host:port; may be repeated. "
+    "Default: the routers that the agents know.",
     flag=False,
     multiple=True,
 )
 _LIMIT_OPTION = helpers.option(
     "agents",
-    description="Agents to ask in each data centre; default: 100.",
+    description="Agents to query in each data centre; default: 100.",
     flag=False,
     default="100",
 )
 
 
 class _FleetCommand(base.OperatorCommand):
-    """A command that asks many processes."""
+    """A command that queries many processes."""
 
-    def find_fleet(self) -> status.Fleet | failure_value.Failure:
+    def find_fleet(self) -> status.FleetDumps | failure_value.Failure:
         """Return the dumps of agents and routers."""
         processes = self.make_processes()
         if failure_value.is_failure(processes):
             return processes
         if not self.option("agents").isdecimal():
             return failure_value.Failure(
-                code=codes.BAD_VALUE, reason="agents: must be a number"
+                code=codes.BAD_VALUE, reason="agents: not a number"
             )
         current = self.read_stored()
         if failure_value.is_failure(current):
             return current
-        return status.ask_fleet(
+        return status.query_fleet(
             processes,
             current,
             per_data_centre=int(self.option("agents")),
@@ -57,10 +57,10 @@
     """``daisypick status``."""
 
     name = "status"
-    description = "Show the fleet at a glance."
+    description = "Show a summary of the fleet."
     help = (
         """\
-Asks the agents in the configuration in force, and routers.
+Queries agents of the configuration in force, and routers.
 
 Examples:
   daisypick status
@@ -71,12 +71,12 @@
     options = [_ROUTERS_OPTION, _LIMIT_OPTION, *base.STORE_OPTIONS]
 
     def handle(self) -> int:
-        """Ask and sum up."""
+        """Query the fleet and print the summary."""
         found = self.find_fleet()
         if failure_value.is_failure(found):
-            return self.fail(found)
-        summary = status.sum_up(found)
-        self.say(summary, status.to_lines(summary))
+            return self.report_failure(found)
+        summary = status.summarise(found)
+        self.print_output(summary, status.format_lines(summary))
         return exit_codes.OK
 
 
@@ -96,15 +96,15 @@
     options = [base.CA_OPTION, base.JSON_OPTION]
 
     def handle(self) -> int:
-        """Fetch the dump."""
+        """Fetch and print the dump."""
         processes = self.make_processes()
         if failure_value.is_failure(processes):
-            return self.fail(processes)
+            return self.report_failure(processes)
         outcome = _call(processes.dump, self.argument("address"))
         if failure_value.is_failure(outcome):
-            return self.fail(outcome)
+            return self.report_failure(outcome)
         text = msgspec.json.format(msgspec.json.encode(outcome), indent=2)
-        self.say(outcome, [text.decode()])
+        self.print_output(outcome, [text.decode()])
         return exit_codes.OK
 
 
@@ -112,11 +112,11 @@
     """``daisypick explain``."""
 
     name = "explain"
-    description = "Show what processes did with a request."
+    description = "Show the events that processes recorded for a request."
     help = (
         """\
-Asks one process, or those that status asks. Processes remember the latest
-requests only.
+Queries one process, or the same processes as status. Processes keep the
+events of the most recent requests only.
 
 Examples:
   daisypick explain 0af3c1 --at 10.0.0.9:7000
@@ -135,55 +135,57 @@
     ]
 
     def handle(self) -> int:
-        """Ask and print the events."""
+        """Query the processes and print the events."""
         request_id = self.argument("request-id")
         processes = self.make_processes()
         if failure_value.is_failure(processes):
-            return self.fail(processes)
+            return self.report_failure(processes)
         addresses = [self.option("at")] if self.option("at") else None
         if addresses is None:
             found = self.find_fleet()
             if failure_value.is_failure(found):
-                return self.fail(found)
+                return self.report_failure(found)
             addresses = list(found.dump_by_address)
-        outcomes = processes.each(
+        outcomes = processes.call_each(
             lambda address: _call(
                 lambda one: processes.explain(one, request_id), address
             ),
             addresses,
         )
-        return self._tell(request_id, outcomes)
+        return self._report(request_id, outcomes)
 
-    def _tell(self, request_id: str, outcomes: dict[str, typing.Any]) -> int:
+    def _report(self, request_id: str, outcomes: dict[str, typing.Any]) -> int:
         known = {
             address: outcome
             for address, outcome in outcomes.items()
             if not failure_value.is_failure(outcome)
         }
         if not known:
-            return self.fail(_why_unknown(request_id, outcomes))
+            return self.report_failure(
+                _unknown_request_failure(request_id, outcomes)
+            )
         lines = [
             f"{address}  {msgspec.json.encode(event).decode()}"
             for address, outcome in known.items()
             for event in outcome.get("events", [])
         ]
-        self.say(known, lines)
+        self.print_output(known, lines)
         return exit_codes.OK
 
 
-def _why_unknown(
+def _unknown_request_failure(
     request_id: str, outcomes: dict[str, typing.Any]
 ) -> failure_value.Failure:
-    """Return the failure that kept the only process asked from answering."""
+    """Return the only process's failure, or one that sums up all of them."""
     if len(outcomes) == 1:
         return next(iter(outcomes.values()))
-    silent = sum(
+    unresponsive = sum(
         outcome.code == codes.PEER_UNREACHABLE for outcome in outcomes.values()
     )
     return failure_value.Failure(
         code=codes.NOT_FOUND,
-        reason=f"request {request_id}: of {len(outcomes)} processes asked, "
-        f"none remembers it; {silent} did not answer",
+        reason=f"request {request_id}: none of {len(outcomes)} processes has "
+        f"events of it; {unresponsive} did not respond",
     )
 
 
@@ -191,7 +193,7 @@
     call: typing.Callable[[str], fleet.Json | failure_value.Failure],
     address: str,
 ) -> fleet.Json | failure_value.Failure:
-    """Call a process whose address was typed by hand."""
+    """Call a process; return a failure if its address is malformed."""
     try:
         return call(address)
     except ValueError as error:
--- a/packages/daisypick_cli/src/daisypick_cli/commands/key.py
+++ b/packages/daisypick_cli/src/daisypick_cli/commands/key.py
@@ -11,10 +11,10 @@
     """``daisypick hash-key``."""
 
     name = "hash-key"
-    description = "Print the hash of an API key that is read from the input."
+    description = "Print the hash of an API key read from standard input."
     help = """\
-The key is read from standard input, so that it shows in no list of processes
-and no history of the shell. White space around it does not count.
+The key is read from standard input, so that it is visible neither in process
+lists nor in the shell history. Surrounding white space is ignored.
 
 Examples:
   daisypick hash-key < key-of-union.txt
@@ -28,7 +28,7 @@
             self.line_error("no key on standard input")
             return exit_codes.FAULTS
         key_hash = hashlib.sha256(key.encode()).hexdigest()
-        self.say({"key_hash": key_hash}, [key_hash])
+        self.print_output({"key_hash": key_hash}, [key_hash])
         return exit_codes.OK
 
 
--- a/packages/daisypick_cli/src/daisypick_cli/commands/logs.py
+++ b/packages/daisypick_cli/src/daisypick_cli/commands/logs.py
@@ -11,18 +11,19 @@
 from daisypick_core.results import failure as failure_value
 from daisypick_core.scheduling import fair_windows
 
-_SHOWN = 10
+_MAX_ROWS = 10
 
 
 class FairnessCommand(base.OperatorCommand):
     """``daisypick fairness``."""
 
     name = "fairness"
-    description = "Show from routers' logs who was served least."
+    description = "Show the least served organisations from routers' logs."
     help = """\
-For each organisation that waited through six seconds, the worst such span:
-what it got against half of what it asked or of what the best served one got.
-A margin below 1 is unfair, unless servers or routers failed at that time.
+Prints, for each organisation that was starved throughout six seconds, the
+worst such span: its usage against half of its own demand or half of the best
+served organisation's usage, whichever is less. A margin below 1 is unfair,
+unless servers or routers failed at that time.
 
 Examples:
   daisypick fairness router-1.log router-2.log
@@ -33,28 +34,28 @@
     options = [base.JSON_OPTION]
 
     def handle(self) -> int:
-        """Read the logs and show the least margins."""
+        """Read the logs and print the smallest margins."""
         lines: list[str] = []
         for name in self.argument("logs"):
             try:
                 text = pathlib.Path(name).read_text(errors="replace")
             except OSError as error:
-                return self.fail(
+                return self.report_failure(
                     failure_value.Failure(
                         code=codes.BAD_VALUE, reason=f"logs: {error}"
                     )
                 )
             lines.extend(text.splitlines())
         found = fair_windows.find_least_served(fairness_log.read_seconds(lines))
-        self.say(
-            [served._asdict() for served in found[:_SHOWN]],
-            [_write_line(served) for served in found[:_SHOWN]]
-            or ["No organisation waited through six seconds."],
+        self.print_output(
+            [served._asdict() for served in found[:_MAX_ROWS]],
+            [_format_row(served) for served in found[:_MAX_ROWS]]
+            or ["No organisation was starved throughout six seconds."],
         )
         return exit_codes.OK
 
 
-def _write_line(served: fair_windows.Served) -> str:
+def _format_row(served: fair_windows.Served) -> str:
     return (
         f"{served.margin:.2f}  {served.organisation} from {served.begins}:"
         f" asked {served.asked:.0f}, got {served.got:.0f},"
--- a/packages/daisypick_cli/src/daisypick_cli/exit_codes.py
+++ b/packages/daisypick_cli/src/daisypick_cli/exit_codes.py
@@ -19,12 +19,12 @@
 
 MEANING_BY_CODE = {
     OK: "done",
-    USAGE: "wrong use of the command line",
-    FAULTS: "the folder or an argument has faults, nothing was changed",
-    CONFLICT: "others changed the configuration, nothing was changed",
-    UNAVAILABLE: "the platform or a process is unavailable, nothing was "
+    USAGE: "invalid command line",
+    FAULTS: "the folder or an argument is invalid; nothing was changed",
+    CONFLICT: "others changed the configuration; nothing was changed",
+    UNAVAILABLE: "the platform or a process is unavailable; nothing was "
     "changed",
-    UNKNOWN: "the change may be in force, apply again to find out",
+    UNKNOWN: "the change may be in force; apply again to find out",
     DIFFERENT: "diff: the folder differs from the configuration in force",
 }
 
@@ -42,5 +42,5 @@
 
 
 def of_failure(failure: failure_value.Failure) -> int:
-    """Return the exit code that tells of a failure."""
+    """Return the exit code of a failure."""
     return _BY_NUMBER.get(failure.code.number, FAULTS)
--- a/packages/daisypick_cli/src/daisypick_cli/fairness_log.py
+++ b/packages/daisypick_cli/src/daisypick_cli/fairness_log.py
@@ -1,4 +1,4 @@
-"""What organisations asked and got, from the logs of routers."""
+"""Reads demand and usage of organisations from the logs of routers."""
 
 from collections.abc import Iterable
 
@@ -6,7 +6,7 @@
 
 from daisypick_core.scheduling import fair_windows
 
-_SAY = "Work by organisation."
+_LOG_TEXT = "Work by organisation."
 
 
 def read_seconds(
@@ -14,17 +14,17 @@
 ) -> dict[str, dict[int, fair_windows.Second]]:
     """Return the seconds of each organisation, summed over all routers.
 
-    Anything before the first brace of a line, as a collector of logs puts it,
-    and all other lines are passed over.
+    Text before the first brace of a line, such as the prefix of a log
+    collector, is ignored, and so are all other lines.
     """
     by_organisation: dict[str, dict[int, fair_windows.Second]] = {}
     for line in lines:
-        if _SAY not in line:
+        if _LOG_TEXT not in line:
             continue
         try:
             entry = msgspec.json.decode(line[line.index("{") :])
         except (msgspec.DecodeError, ValueError):
-            # A line that was cut when its process ended.
+            # The line was truncated when its process ended.
             continue
         for row in entry["organisations"]:
             seconds = by_organisation.setdefault(row["organisation"], {})
--- a/packages/daisypick_cli/src/daisypick_cli/folder.py
+++ b/packages/daisypick_cli/src/daisypick_cli/folder.py
@@ -1,8 +1,8 @@
-"""The operators' folder on disk, and what was last applied from it.
+"""The operators' configuration folder and the record of its last apply.
 
-Files ending in ``.toml`` count, hidden ones do not. The record of the last
-apply is the hidden file ``.daisypick.json``; with it, an apply can tell what
-others have changed since.
+Files ending in ``.toml`` are read, except hidden ones. The record of the last
+apply is the hidden file ``.daisypick.json``; an apply uses it to find out
+what others have changed since.
 """
 
 from collections.abc import Iterable
@@ -17,14 +17,16 @@
 from daisypick_core.results import failure as failure_value
 
 RECORD = ".daisypick.json"
-_LAST_PREFIX = "zz"
+_PREFIX = "zz"
 _NUMBERED = re.compile(r".*zz-(\d+)-.*\.toml")
 
 
 def check_folder(path: pathlib.Path) -> check.Checked:
-    """Return the merged and checked folder, or all its faults."""
+    """Merge and check a folder; return its configuration or all faults."""
     if not path.is_dir():
-        return _faulty(faults.Fault(str(path), "", codes.BAD_FILE, "no folder"))
+        return _single_fault(
+            faults.Fault(str(path), "", codes.BAD_FILE, "not a folder")
+        )
     files: list[merge.SourceFile] = []
     unreadable: list[faults.Fault] = []
     for file in _files(path):
@@ -37,16 +39,18 @@
         else:
             files.append(merge.SourceFile(name=file.name, text=text))
     if not files and not unreadable:
-        # An empty folder would remove everything: most likely it is a
-        # mistyped path.
+        # Applying an empty folder would remove all entries. Most likely the
+        # path is mistyped.
         reason = "has no .toml file"
-        return _faulty(faults.Fault(str(path), "", codes.BAD_FILE, reason))
+        return _single_fault(
+            faults.Fault(str(path), "", codes.BAD_FILE, reason)
+        )
     merged = merge.merge(files)
     merged.faults.extend(unreadable)
     return check.check(merged)
 
 
-def _faulty(fault: faults.Fault) -> check.Checked:
+def _single_fault(fault: faults.Fault) -> check.Checked:
     return check.Checked(configuration=None, faults=(fault,), file_by_key={})
 
 
@@ -59,7 +63,7 @@
 
 
 def read_record(path: pathlib.Path) -> root_object.Root | None:
-    """Return the root that was last applied from the folder, if known."""
+    """Return the root that was last applied from the folder, or ``None``."""
     try:
         data = (path / RECORD).read_bytes()
     except OSError:
@@ -69,41 +73,41 @@
 
 
 def write_record(path: pathlib.Path, root: root_object.Root) -> None:
-    """Remember the root that was applied.
+    """Record the root that was applied.
 
     Raises:
         OSError: The folder cannot be written.
     """
     bare = root._replace(packs=(), recent=())
-    _write_whole(path / RECORD, root_object.encode_root(bare))
+    _write_atomically(path / RECORD, root_object.encode_root(bare))
 
 
 def write_data_centre(
     path: pathlib.Path, name: str, *, is_in: bool
 ) -> pathlib.Path:
-    """Write a file that sorts last and takes a data centre out, or in.
+    """Write a file that sorts last and sets whether a data centre is in.
 
     Raises:
         OSError: The folder cannot be written.
     """
-    word = "in" if is_in else "out"
+    state = "in" if is_in else "out"
     names = [file.name for file in _files(path)]
-    file_name = last_name(names, f"data-centre-{name}-{word}")
+    file_name = make_last_file_name(names, f"data-centre-{name}-{state}")
     text = f"[data_centres.{_quote(name)}]\nis_in = {str(is_in).lower()}\n"
     file = path / file_name
-    _write_whole(file, text.encode())
+    _write_atomically(file, text.encode())
     return file
 
 
-def last_name(names: Iterable[str], label: str) -> str:
+def make_last_file_name(names: Iterable[str], label: str) -> str:
     """Return a file name that sorts after all others.
 
     Examples:
-        >>> last_name(["10-base.toml"], "x")
+        >>> make_last_file_name(["10-base.toml"], "x")
         'zz-000001-x.toml'
-        >>> last_name(["10-base.toml", "zz-000041-y.toml"], "x")
+        >>> make_last_file_name(["10-base.toml", "zz-000041-y.toml"], "x")
         'zz-000042-x.toml'
-        >>> last_name(["~me-last.toml"], "x")
+        >>> make_last_file_name(["~me-last.toml"], "x")
         '~me-last~zz-000001-x.toml'
     """
     names = list(names)
@@ -112,7 +116,7 @@
         for match in map(_NUMBERED.fullmatch, names)
         if match
     ]
-    name = f"{_LAST_PREFIX}-{max(numbers, default=0) + 1:06}-{label}.toml"
+    name = f"{_PREFIX}-{max(numbers, default=0) + 1:06}-{label}.toml"
     last = max(names, default="")
     if name > last:
         return name
@@ -123,8 +127,8 @@
     return f'"{name}"'
 
 
-def _write_whole(file: pathlib.Path, data: bytes) -> None:
-    """Write a file so that nobody ever reads half of it."""
+def _write_atomically(file: pathlib.Path, data: bytes) -> None:
+    """Write a file atomically, so that no reader sees a part of it."""
     partial = file.with_name(f".{file.name}.partial")
     partial.write_bytes(data)
     partial.replace(file)
--- a/packages/daisypick_cli/src/daisypick_cli/main.py
+++ b/packages/daisypick_cli/src/daisypick_cli/main.py
@@ -1,8 +1,8 @@
 """The application ``daisypick``.
 
-Other packages add commands by an entry point of the group
-``daisypick.commands`` that names a module with ``COMMANDS``, a list of cleo
-commands. A package that is not installed adds none.
+Other packages add commands through an entry point of the group
+``daisypick.commands``. It names a module with ``COMMANDS``, a list of cleo
+command classes.
 """
 
 from collections.abc import Iterator
@@ -40,9 +40,11 @@
         try:
             module = entry_point.load()
         except ImportError as error:
-            # One broken package must not take apply and data-centre out
-            # away from operators.
-            sys.stderr.write(f"commands of {entry_point.value}: {error}\n")
+            # A package that fails to import must not prevent operators from
+            # running ``apply`` and ``data-centre out``.
+            sys.stderr.write(
+                f"cannot load commands of {entry_point.value}: {error}\n"
+            )
             continue
         yield from module.COMMANDS
 
--- a/packages/daisypick_cli/src/daisypick_cli/processes.py
+++ b/packages/daisypick_cli/src/daisypick_cli/processes.py
@@ -1,4 +1,4 @@
-"""Calls of the command line to running processes, by the operators' key."""
+"""Calls to running processes, authorised by the operators' key."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -16,8 +16,8 @@
 from daisypick_node.http import peers as peers_module
 
 TIMEOUT_SECONDS = 3.0
-CALLS_AT_ONCE = 32
-TOLD_PER_DATA_CENTRE = 2
+MAX_CONCURRENT_CALLS = 32
+NOTIFIED_PER_DATA_CENTRE = 2
 
 Json = dict[str, typing.Any]
 
@@ -27,7 +27,7 @@
 
 
 class Processes:
-    """Running processes, reached by address."""
+    """Client for running processes, by address."""
 
     def __init__(self, *, operator_key: str, ca_file: str | None) -> None:
         self._peers = peers_module.Peers(
@@ -35,13 +35,13 @@
         )
 
     def dump(self, address: str) -> Json | failure_value.Failure:
-        """Return the state of a process."""
+        """Return the dump of a process's state."""
         return self._get(address, process_module.DUMP)
 
     def explain(
         self, address: str, request_id: str
     ) -> Json | failure_value.Failure:
-        """Return what a process did with a request."""
+        """Return the events that a process recorded for a request."""
         name = urllib.parse.quote(request_id, safe="")
         return self._get(address, process_module.EXPLAIN + name)
 
@@ -68,13 +68,13 @@
             return reply
         return reply["generation"]
 
-    def each(
+    def call_each(
         self,
         call: typing.Callable[[str], typing.Any],
         addresses: Iterable[str],
     ) -> dict[str, typing.Any]:
-        """Return the outcomes of a call to many processes, by address."""
-        pool = gevent.pool.Pool(CALLS_AT_ONCE)
+        """Call many processes concurrently; return the outcomes by address."""
+        pool = gevent.pool.Pool(MAX_CONCURRENT_CALLS)
         addresses = list(addresses)
         return dict(zip(addresses, pool.map(call, addresses), strict=True))
 
@@ -84,10 +84,10 @@
         )
 
 
-def choose(
+def choose_agents(
     configuration: model.Configuration, per_data_centre: int
 ) -> list[str]:
-    """Return the addresses of some agents of each data centre."""
+    """Return the addresses of up to that many agents per data centre."""
     chosen: dict[str, list[str]] = {}
     for server in configuration.backend_servers_by_name.values():
         addresses = chosen.setdefault(server.data_centre, [])
@@ -96,11 +96,11 @@
     return [address for addresses in chosen.values() for address in addresses]
 
 
-def highest(generation_by_address: Mapping[str, object]) -> int:
-    """Return the highest generation among outcomes, 0 if all failed.
+def highest_generation(generation_by_address: Mapping[str, object]) -> int:
+    """Return the highest generation among outcomes, or 0 if all failed.
 
     Examples:
-        >>> highest({"10.0.0.1:80": 3, "10.0.0.2:80": None})
+        >>> highest_generation({"10.0.0.1:80": 3, "10.0.0.2:80": None})
         3
     """
     known = [one for one in generation_by_address.values() if type(one) is int]
--- a/packages/daisypick_cli/src/daisypick_cli/publication.py
+++ b/packages/daisypick_cli/src/daisypick_cli/publication.py
@@ -1,14 +1,14 @@
 """Write a configuration to the store: packs first, then the root.
 
-Only the root's conditional update decides. It is sent again, with the same
-condition and the same change id, until an answer settles it: at most one of
-the copies can take effect, and the id in the root tells whether one did. A
-conflict is told together with what the others have changed.
+The conditional update of the root is the commit point. It is retried with the
+same condition and the same change id until a response is conclusive: at most
+one of the copies can take effect, and the id in the root shows whether one
+did. A conflict is returned together with what the others have changed.
 
-Packs are cleared away without harm to writers that are on their way: a pack
-bears the generation that it was written for, and only the root of that
+Stale packs are deleted without affecting concurrent writers: the name of a
+pack holds the generation that it was written for, and only the root of that
 generation can be the first to list it. Once a root of that generation or a
-later one is there and does not list the pack, no later root ever will.
+later one exists that does not list the pack, no later root will.
 """
 
 from collections.abc import Callable
@@ -30,10 +30,10 @@
 MAX_PACKS = 64
 MAX_PACK_BYTES = 900_000
 RECENT_LIMIT = 64
-PATIENCE_SECONDS = 30.0
-_FIRST_PAUSE = 0.2
-_LONGEST_PAUSE = 3.0
-_MOMENTARY = frozenset(
+RETRY_TIMEOUT_SECONDS = 30.0
+_INITIAL_BACKOFF = 0.2
+_MAX_BACKOFF = 3.0
+_TRANSIENT_CODES = frozenset(
     {
         codes.PLATFORM_UNAVAILABLE.number,
         codes.PLATFORM_ANSWER_LOST.number,
@@ -47,8 +47,8 @@
 
     Attributes:
         root: Its root.
-        is_new: ``False`` if the store held the same content already.
-        chunk_by_hash: Chunks that the root before it did not have.
+        is_new: ``False`` if the store already held the same content.
+        chunk_by_hash: Chunks that the tree of the root before it lacks.
     """
 
     root: root_object.Root
@@ -57,7 +57,7 @@
 
 
 class Conflict(typing.NamedTuple):
-    """A race that was lost; nothing of this change is in force.
+    """Another writer's update took effect first; this change did not.
 
     Attributes:
         failure: ``CONFIGURATION_CONFLICT``.
@@ -75,10 +75,10 @@
 
 
 class Publisher:
-    """Writes configurations.
+    """Reads and writes the stored configuration.
 
     Attributes:
-        client: The platform.
+        client: Client of the platform.
     """
 
     def __init__(
@@ -88,18 +88,18 @@
         clock: Callable[[], float],
         sleep: Callable[[float], None],
         rng: random.Random,
-        patience: float = PATIENCE_SECONDS,
+        patience: float = RETRY_TIMEOUT_SECONDS,
     ) -> None:
         self.client = client
         self._clock = clock
         self._sleep = sleep
         self._rng = rng
-        self._patience = patience
+        self._retry_timeout = patience
 
     def read(
         self,
     ) -> configuration_store.StoredConfiguration | failure_value.Failure:
-        """Return what the store holds, waiting for an outage to end."""
+        """Return the stored configuration, retrying through an outage."""
         return self._retry(lambda: configuration_store.read_all(self.client))
 
     def publish(
@@ -107,21 +107,23 @@
         wanted: model.Configuration,
         base: configuration_store.StoredConfiguration,
         *,
-        floor: int = 0,
+        known_generation: int = 0,
     ) -> Outcome:
         """Replace the stored configuration ``base`` by ``wanted``.
 
         Args:
-            wanted: What shall be in force; its generation is ignored.
-            base: What the store held when the change was decided on.
-            floor: The highest generation known elsewhere. Processes never go
-                back, so a store restored from a backup must be lifted above.
+            wanted: The new configuration; its generation is ignored.
+            base: The stored configuration that the change is based on.
+            known_generation: The highest generation known elsewhere.
+                Processes never apply a lower generation than they have, so
+                after the store is restored from a backup, the next one must
+                exceed this.
         """
         tree = chunks.split(wanted)
         is_same = base.root is not None and base.root.top == tree.top
-        if is_same and base.configuration.generation >= floor:
+        if is_same and base.configuration.generation >= known_generation:
             return Published(root=base.root, is_new=False, chunk_by_hash={})
-        change = self._plan(tree, base, floor)
+        change = self._plan(tree, base, known_generation)
         for name, pack in change.pack_by_name.items():
             failure = self._write_pack(name, pack)
             if failure is not None:
@@ -132,9 +134,9 @@
         self,
         tree: chunks.Tree,
         base: configuration_store.StoredConfiguration,
-        floor: int,
+        known_generation: int,
     ) -> "_Change":
-        generation = max(base.configuration.generation, floor) + 1
+        generation = max(base.configuration.generation, known_generation) + 1
         change_id = f"{self._rng.getrandbits(64):016x}"
         old_packs = base.root.packs if base.root else ()
         recent = base.root.recent if base.root else ()
@@ -174,8 +176,8 @@
         result = self._retry(_put)
         if not failure_value.is_failure(result):
             return None
-        # The name is this change's own: if it is taken, an earlier copy of
-        # the write, whose answer was lost, has taken effect.
+        # The name is unique to this change: if it exists, an earlier copy
+        # of the write took effect and its response was lost.
         return None if result.code == codes.PLATFORM_CONFLICT else result
 
     def _write_root(
@@ -203,27 +205,28 @@
         if not failure_value.is_failure(result):
             return self._accepted(change)
         if result.code == codes.PLATFORM_CONFLICT:
-            return self._settle(change, base)
+            return self._resolve_conflict(change, base)
         if may_be_written:
             return failure_value.Failure(
                 code=codes.PLATFORM_ANSWER_LOST,
                 reason=f"change {change.root.change_id} may be in force; "
-                "apply again when the platform answers",
+                "apply again when the platform responds",
             )
         return result
 
-    def _settle(
+    def _resolve_conflict(
         self,
         change: "_Change",
         base: configuration_store.StoredConfiguration,
     ) -> Outcome:
-        """Find out whose write made the condition fail."""
+        """Read the root back to find out whose write took effect."""
         current = self.read()
         if failure_value.is_failure(current):
             return failure_value.Failure(
                 code=codes.PLATFORM_ANSWER_LOST,
-                reason=f"change {change.root.change_id} met another, or "
-                f"itself: {current.reason}; apply again",
+                reason=f"change {change.root.change_id} conflicted with "
+                f"another change or a copy of itself: {current.reason}; "
+                "apply again",
             )
         root = current.root
         if root is not None and change.root.change_id in root.recent:
@@ -236,20 +239,20 @@
         return Conflict(
             failure=failure_value.Failure(
                 code=codes.CONFIGURATION_CONFLICT,
-                reason=f"generation {generation} came in between",
+                reason=f"generation {generation} was applied meanwhile",
             ),
             generation=generation,
             changes=tuple(changes),
         )
 
     def _accepted(self, change: "_Change") -> Published:
-        self._clear(change.root)
+        self._delete_stale_packs(change.root)
         return Published(
             root=change.root, is_new=True, chunk_by_hash=change.differing
         )
 
-    def _clear(self, root: root_object.Root) -> None:
-        """Delete packs that no root can list any more, as far as it goes."""
+    def _delete_stale_packs(self, root: root_object.Root) -> None:
+        """Delete packs that no root can list any more; ignore failures."""
         names = self.client.list_names(
             configuration_store.KIND, configuration_store.PACK_PREFIX
         )
@@ -271,19 +274,19 @@
                 )
 
     def _retry(self, call: Callable[[], _Result]) -> _Result:
-        """Repeat a call through an outage, with growing, jittered pauses."""
-        deadline = self._clock() + self._patience
-        pause = _FIRST_PAUSE
+        """Retry a call through an outage, with jittered exponential backoff."""
+        deadline = self._clock() + self._retry_timeout
+        backoff = _INITIAL_BACKOFF
         while True:
             result = call()
-            is_momentary = (
+            is_transient = (
                 failure_value.is_failure(result)
-                and result.code.number in _MOMENTARY
+                and result.code.number in _TRANSIENT_CODES
             )
-            if not is_momentary or self._clock() + pause > deadline:
+            if not is_transient or self._clock() + backoff > deadline:
                 return result
-            self._sleep(pause * (0.5 + self._rng.random()))
-            pause = min(2 * pause, _LONGEST_PAUSE)
+            self._sleep(backoff * (0.5 + self._rng.random()))
+            backoff = min(2 * backoff, _MAX_BACKOFF)
 
 
 class _Change(typing.NamedTuple):
@@ -291,8 +294,8 @@
 
     Attributes:
         root: The root to write.
-        pack_by_name: The packs to write before it.
-        differing: Chunks that the tree before it lacks.
+        pack_by_name: The packs to write before the root.
+        differing: Chunks that the base's tree lacks.
     """
 
     root: root_object.Root
@@ -311,7 +314,7 @@
 
 
 def _make_packs(chunk_by_hash: Mapping[str, bytes]) -> Iterator[bytes]:
-    """Yield encoded packs, each below the size of a stored object."""
+    """Yield encoded packs, each within the size limit of a stored object."""
     batch: dict[str, bytes] = {}
     size = 0
     for chunk_hash, chunk in chunk_by_hash.items():
--- a/packages/daisypick_cli/src/daisypick_cli/status.py
+++ b/packages/daisypick_cli/src/daisypick_cli/status.py
@@ -1,4 +1,4 @@
-"""The fleet at a glance, summed up from the dumps of its processes."""
+"""A summary of the fleet from the dumps of its processes."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -9,12 +9,12 @@
 from daisypick_core.results import failure as failure_value
 
 
-class Fleet(typing.NamedTuple):
-    """What was found.
+class FleetDumps(typing.NamedTuple):
+    """The stored configuration and the dumps of processes.
 
     Attributes:
         configuration: The configuration in the store.
-        dump_by_address: Dump or failure of each process that was asked.
+        dump_by_address: Dump or failure of each queried process.
     """
 
     configuration: model.Configuration
@@ -22,7 +22,7 @@
 
 
 class DataCentreStatus(typing.TypedDict):
-    """One data centre, over the agents that were asked."""
+    """Totals of one data centre over the agents that were queried."""
 
     name: str
     is_in: bool
@@ -36,7 +36,7 @@
 
 
 class RouterStatus(typing.TypedDict):
-    """One router."""
+    """State of one router."""
 
     address: str
     is_ready: bool
@@ -46,7 +46,7 @@
 
 
 class Status(typing.TypedDict):
-    """The fleet."""
+    """Summary of the fleet."""
 
     generation: int
     organisations: int
@@ -56,28 +56,31 @@
     unreachable: list[str]
 
 
-def ask_fleet(
+def query_fleet(
     processes: fleet.Processes,
     configuration: model.Configuration,
     *,
     per_data_centre: int,
     routers: Iterable[str],
-) -> Fleet:
-    """Return the dumps of agents, and of routers given or known to them."""
-    agents = fleet.choose(configuration, per_data_centre)
-    dumps = processes.each(processes.dump, agents)
+) -> FleetDumps:
+    """Return the dumps of agents and of the given routers.
+
+    If no routers are given, those that the agents know are queried.
+    """
+    agents = fleet.choose_agents(configuration, per_data_centre)
+    dumps = processes.call_each(processes.dump, agents)
     wanted = set(routers) or {
         router
         for dump in dumps.values()
         if not failure_value.is_failure(dump)
         for router in dump.get("configuration", {}).get("routers", [])
     }
-    dumps |= processes.each(processes.dump, sorted(wanted - dumps.keys()))
-    return Fleet(configuration=configuration, dump_by_address=dumps)
+    dumps |= processes.call_each(processes.dump, sorted(wanted - dumps.keys()))
+    return FleetDumps(configuration=configuration, dump_by_address=dumps)
 
 
-def sum_up(found: Fleet) -> Status:
-    """Return the summary."""
+def summarise(found: FleetDumps) -> Status:
+    """Return the summary of the fleet."""
     dumps = {
         address: dump
         for address, dump in found.dump_by_address.items()
@@ -89,7 +92,7 @@
         organisations=len(configuration.organisations_by_name),
         services=len(configuration.services_by_name),
         data_centres=[
-            _sum_up_data_centre(entry, found, dumps)
+            _summarise_data_centre(entry, found, dumps)
             for entry in configuration.data_centres_by_name.values()
         ],
         routers=[
@@ -107,8 +110,8 @@
     )
 
 
-def _sum_up_data_centre(
-    entry: model.DataCentre, found: Fleet, dumps: dict[str, typing.Any]
+def _summarise_data_centre(
+    entry: model.DataCentre, found: FleetDumps, dumps: dict[str, typing.Any]
 ) -> DataCentreStatus:
     agents = {
         server.agent
@@ -131,8 +134,8 @@
     )
 
 
-def to_lines(status: Status) -> Iterator[str]:
-    """Yield the summary for people."""
+def format_lines(status: Status) -> Iterator[str]:
+    """Yield the lines of the human-readable summary."""
     yield (
         f"Generation {status['generation']}: "
         f"{status['organisations']} organisations, "
--- a/packages/daisypick_cli/tests/test_logs.py
+++ b/packages/daisypick_cli/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""``daisypick fairness``."""
+"""Tests of ``daisypick fairness``."""
 
 import json
 
@@ -28,11 +28,11 @@
         for second, organisations in organisations_by_second.items()
     ]
     lines.append('  7.0 r-1 {"at": 7.5, "say": "Work by organisation.", "or')
-    lines.append("not a line of ours")
+    lines.append("not a log line of a router")
     path.write_text("\n".join(lines))
 
 
-def test_least_served_organisation_is_told_over_all_routers(tmp_path):
+def test_least_served_organisation_is_found_over_all_routers(tmp_path):
     farm = {"organisation": "farm", "asked": 100.0, "begun": 10.0}
     best = {"organisation": "best", "asked": 90.0, "begun": 90.0}
     first, second = tmp_path / "r-1.log", tmp_path / "r-2.log"
@@ -45,15 +45,15 @@
     assert (served["got"], served["margin"]) == (120.0, 0.444)
 
 
-def test_log_without_such_lines_is_no_error(tmp_path):
+def test_log_without_matching_lines_is_no_error(tmp_path):
     log = tmp_path / "r-1.log"
     log.write_text("nothing\n")
     code, output, _ = _run(f"fairness {log}")
     assert code == exit_codes.OK
-    assert "No organisation waited" in output
+    assert "No organisation was starved" in output
 
 
-def test_missing_log_is_told(tmp_path):
+def test_missing_log_is_reported(tmp_path):
     code, _, error = _run(f"fairness {tmp_path / 'none.log'}")
     assert code != exit_codes.OK
     assert "none.log" in error
--- a/packages/daisypick_cli/tests/test_main.py
+++ b/packages/daisypick_cli/tests/test_main.py
@@ -38,7 +38,7 @@
 
 @pytest.fixture
 def agent(platform):
-    """The agent of assistant-1, at the address that the folder names."""
+    """The agent of assistant-1, in the data centre that the folder names."""
     agent = agent_process.AgentProcess(
         settings=settings_module.AgentSettings(
             listen="127.0.0.1:0",
@@ -69,7 +69,7 @@
     (folder / name).write_text(text)
 
 
-def test_check_lists_all_faults_and_show_tells_the_files(folder):
+def test_check_lists_all_faults_and_show_names_the_files(folder):
     assert run("check")[0] == exit_codes.OK
     code, output, _ = run("show organisations.plzen-studs")
     assert code == exit_codes.OK
@@ -89,12 +89,12 @@
     ]
 
 
-def test_empty_folder_is_a_fault_and_not_an_empty_configuration(tmp_path):
+def test_empty_folder_is_a_fault_not_an_empty_configuration(tmp_path):
     code, _, error = run(f"check --folder {tmp_path}")
     assert (code, "has no .toml file" in error) == (exit_codes.FAULTS, True)
 
 
-def test_apply_then_nothing_to_change(platform, folder):
+def test_second_apply_of_the_same_folder_changes_nothing(platform, folder):
     code, found = run_json("diff")
     assert (code, found["generation"]) == (exit_codes.DIFFERENT, 0)
     code, found = run_json("apply")
@@ -107,12 +107,12 @@
     assert found["changes"] == ["organisations.union.share: 16.0 -> 2.0"]
 
 
-def test_two_operators_one_is_told_what_the_other_changed(
+def test_apply_that_would_revert_another_operators_change_is_refused(
     platform, folder, tmp_path
 ):
     # Two operators have a copy of the folder each. The second applies a file
-    # that the first does not have. The first one's apply would undo it
-    # without a word; it is refused, until the file is in that folder too.
+    # that the first does not have. The first one's apply would silently
+    # revert it; it is refused until the file is in that folder too.
     run("apply")
     other = tmp_path / "other"
     shutil.copytree(folder, other)
@@ -128,7 +128,9 @@
     assert found["changes"] == ["organisations.union.share: 16.0 -> 5.0"]
 
 
-def test_folder_without_record_does_not_undo_what_is_in_force(platform, folder):
+def test_folder_without_record_does_not_revert_the_stored_configuration(
+    platform, folder
+):
     run("apply")
     (folder / ".daisypick.json").unlink()
     assert run("apply")[0] == exit_codes.OK
@@ -142,8 +144,8 @@
 
 
 def test_data_centre_out_changes_nothing_else(platform, folder):
-    # The folder has an edit that is not applied yet, and another operator's
-    # change is not in it: neither may hinder the outage work nor go with it.
+    # The folder has an edit that is not applied yet. It must neither block
+    # taking the data centre out of service nor be applied with that change.
     run("apply")
     add(folder, "60-mine.toml", "[organisations.union]\nshare = 5.0")
     code, found = run_json("data-centre out varna")
@@ -163,7 +165,9 @@
     assert (code, "'nowhere'" in error) == (exit_codes.FAULTS, True)
 
 
-def test_outage_is_told_and_the_wish_stays_in_the_folder(platform, folder):
+def test_outage_is_reported_and_the_change_stays_in_the_folder(
+    platform, folder
+):
     run("apply")
     platform.set_faults(faults.Faults(outage=faults.UNAVAILABLE))
     code, _, error = run("data-centre out varna --wait 0")
@@ -174,15 +178,18 @@
     ]
 
 
-def test_lost_answer_is_no_conflict_and_no_second_generation(platform, folder):
-    # Both writes of the apply, the pack's and the root's, take effect; their
-    # connections break before the answers. The operator sees success once.
+def test_lost_response_is_no_conflict_and_no_second_generation(
+    platform, folder
+):
+    # Both writes of the apply, the pack's and the root's, take effect, but
+    # their connections break before the responses. The apply succeeds with
+    # one generation.
     platform.set_faults(faults.Faults(lose_answers=2))
     code, found = run_json("apply")
     assert (code, found["generation"], found["is_new"]) == (0, 1, True)
 
 
-def test_processes_are_told_dumped_and_summed_up(
+def test_processes_are_notified_dumped_and_summarised(
     platform, folder, agent, monkeypatch
 ):
     monkeypatch.setenv("DAISYPICK_OPERATOR_KEY", "operator-key-1")
@@ -209,8 +216,8 @@
     code, _, error = run(f"explain r1 --at {agent.address}")
     assert (code, "[7005]" in error) == (exit_codes.UNAVAILABLE, True)
     assert run("dump nowhere")[0] == exit_codes.FAULTS
-    # An apply tells two agents of each data centre; a data centre that goes
-    # out is told in all its agents, of which sofia has three.
+    # An apply notifies two agents of each data centre, and all agents of a
+    # data centre that is taken out of service, of which sofia has three.
     code, found = run_json("data-centre out sofia")
     assert (code, found["asked"], found["told"]) == (exit_codes.OK, 5, 1)
     monkeypatch.setenv("DAISYPICK_OPERATOR_KEY", "wrong")
--- a/packages/daisypick_cli/tests/test_publication.py
+++ b/packages/daisypick_cli/tests/test_publication.py
@@ -20,7 +20,7 @@
 
 
 class MemoryPlatform:
-    """Objects with versions; ``root_faults`` meet writes of the root."""
+    """Versioned objects; ``root_faults`` apply to writes of the root."""
 
     def __init__(self):
         self.objects = {}
@@ -102,7 +102,7 @@
     return held
 
 
-def test_publish_raises_the_generation_and_moves_what_changed(platform):
+def test_publish_raises_the_generation_and_writes_only_changes(platform):
     first = publish(platform, make_configuration(a=1.0))
     assert (first.root.generation, first.is_new) == (1, True)
     again = publish(platform, make_configuration(a=1.0), 2)
@@ -116,20 +116,21 @@
 
 
 @pytest.mark.parametrize("faults", [[LOST], [LOST, LOST], [DOWN, LOST, DOWN]])
-def test_lost_answer_to_an_accepted_write_is_no_conflict(platform, faults):
-    # The write of the root takes effect, its answer is lost. The publisher
-    # sends it again and is refused, by its own write: the id in the root
-    # tells. Without it the operator would be told of a conflict and the
-    # change that he believes lost would be in force.
+def test_lost_response_to_an_accepted_write_is_no_conflict(platform, faults):
+    # The write of the root takes effect, but its response is lost. The retry
+    # fails the condition because of the publisher's own write; the change id
+    # in the root shows this. Without it a conflict would be reported although
+    # the change is in force.
     platform.root_faults = list(faults)
     outcome = publish(platform, make_configuration(a=1.0))
     assert (outcome.root.generation, outcome.is_new) == (1, True)
     assert stored(platform).root == outcome.root
 
 
-def test_lost_answer_is_settled_also_after_others_have_changed_on(platform):
-    # As above, but before the read-back another operator has put the next
-    # generation on top; the root's list of recent changes still tells.
+def test_lost_response_is_resolved_after_a_later_generation(platform):
+    # The response to the write of the root is lost, and before the read-back
+    # another operator has applied the next generation. The root's list of
+    # recent changes still holds the change id.
     platform.root_faults = [LOST]
     publisher = make_publisher(platform)
     retry = publisher._sleep
@@ -145,9 +146,10 @@
     assert stored(platform).configuration.generation == 2
 
 
-def test_of_two_racing_operators_one_wins_and_the_other_is_told(platform):
-    # Both read generation 1. The other's write comes between this one's
-    # reading and its write of the root. This one must not undo it unseen.
+def test_of_two_concurrent_operators_one_gets_a_conflict(platform):
+    # Both read generation 1. The other operator's write takes effect between
+    # this one's read and its write of the root, which must not silently
+    # revert it.
     publish(platform, make_configuration(a=1.0))
     platform.before_root = lambda: publish(
         platform, make_configuration(a=4.0), 2
@@ -163,7 +165,7 @@
     assert packs == list(held.root.packs)
 
 
-def test_outage_is_waited_for_and_a_long_one_is_told(platform):
+def test_short_outage_is_retried_and_a_long_one_is_reported(platform):
     platform.root_faults = [DOWN] * 3
     assert publish(platform, make_configuration(a=1.0)).is_new
     platform.root_faults = [DOWN] * 1000
@@ -176,9 +178,9 @@
     assert not publish(platform, make_configuration(a=2.0), 4).is_new
 
 
-def test_packs_are_compacted_and_none_in_use_is_cleared_away(platform):
-    # A writer that is on its way has written its pack when another one, whose
-    # root is in force, clears away: the pack of a later generation stays.
+def test_packs_are_compacted_and_none_in_use_is_deleted(platform):
+    # A concurrent writer has written its pack when another one, whose root is
+    # in force, deletes stale packs: the pack of a later generation must stay.
     late = configuration_store.pack_name(999, "x", 0)
     platform.put("configuration", late, b"{}", if_version=None)
     for step in range(publication.MAX_PACKS + 6):
@@ -191,16 +193,16 @@
     assert len(held.root.packs) < 10
 
 
-def test_change_that_is_taken_back_is_published_with_its_chunks(platform):
-    # The store holds the former chunks in an older pack; a process that is
-    # told of the change need not, and gets all that differs.
+def test_reverted_change_is_published_with_its_chunks(platform):
+    # The store holds the former chunks in an older pack, but a notified
+    # process may lack them, so it gets all chunks that differ.
     first = publish(platform, make_configuration(a=1.0))
     publish(platform, make_configuration(a=2.0), 2)
     back = publish(platform, make_configuration(a=1.0), 3)
     assert back.chunk_by_hash == first.chunk_by_hash
 
 
-def test_large_configuration_fits_the_objects_of_the_store(platform):
+def test_large_configuration_fits_the_size_limit_of_objects(platform):
     names = {f"organisation-{n:05}": 1.0 + n for n in range(25_000)}
     assert publish(platform, make_configuration(**names)).is_new
     sizes = [len(item.value) for item in platform.objects.values()]
@@ -208,7 +210,9 @@
     assert len(sizes) > 2
 
 
-def test_floor_lifts_a_restored_store_above_the_fleet(platform):
+def test_generation_exceeds_the_fleets_after_a_restore_from_backup(platform):
     publish(platform, make_configuration(a=1.0))
-    outcome = publish(platform, make_configuration(a=1.0), 2, floor=50)
+    outcome = publish(
+        platform, make_configuration(a=1.0), 2, known_generation=50
+    )
     assert (outcome.root.generation, outcome.is_new) == (51, True)
