--- a/packages/daisypick_standins/src/daisypick_standins/__init__.py
+++ b/packages/daisypick_standins/src/daisypick_standins/__init__.py
@@ -1,9 +1,9 @@
-"""Small stand-ins of what the system meets; no production code imports them.
+"""Stand-ins for external systems, for tests; no production code imports them.
 
-* ``web``: the little HTTP server that the stand-ins share.
-* ``platform``: the platform's objects, VM list and weight store.
+* ``web``: the small HTTP server that the stand-ins share.
+* ``platform``: the platform's object store and VM list.
 * ``engine``: a model engine with continuous batching.
-* ``plain``: a plain service that counts what it runs.
+* ``plain``: a plain service that counts the calls it runs.
 
 Run one as its own process: ``python -m daisypick_standins platform --port 0``.
 """
--- a/packages/daisypick_standins/src/daisypick_standins/__main__.py
+++ b/packages/daisypick_standins/src/daisypick_standins/__main__.py
@@ -2,7 +2,7 @@
 
 Usage: ``python -m daisypick_standins platform --port 0 [--NAME VALUE ...]``.
 The first line on standard output is ``listening on HOST:PORT``; SIGTERM and
-SIGINT end the process.
+SIGINT stop the process.
 """
 
 import argparse
@@ -21,15 +21,15 @@
 
 
 class StandIn(typing.Protocol):
-    """What each stand-in offers."""
+    """Interface of all stand-ins."""
 
     @property
     def address(self) -> str:
-        """``host:port`` once it has started."""
+        """``host:port``, known once the stand-in has started."""
         ...
 
     def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         ...
 
     def stop(self) -> None:
@@ -90,7 +90,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the stand-in that the arguments name until a signal ends it."""
+    """Run the stand-in that the arguments name until a signal stops it."""
     parser = argparse.ArgumentParser(prog="daisypick_standins")
     kinds = parser.add_subparsers(dest="kind", required=True)
     for name, setup in _SETUP_BY_NAME.items():
--- a/packages/daisypick_standins/src/daisypick_standins/engine/__init__.py
+++ b/packages/daisypick_standins/src/daisypick_standins/engine/__init__.py
@@ -1,13 +1,13 @@
-"""Stand-in of a model engine with continuous batching.
+"""Stand-in for a model engine with continuous batching.
 
-* ``settings``: what one engine is like.
-* ``text``: the answer as a function of the request, and its check.
+* ``settings``: parameters of an engine.
+* ``text``: the answer text as a function of the request, and its check.
 * ``prefix_cache``: cached prompt prefixes in limited memory.
-* ``warmth``: what an engine bears in its cold start.
-* ``batch``: continuous batching as a cost model, free of I/O and clocks.
-* ``streams``: answers as bytes that can be read again from an offset.
-* ``progress``: a generation's tokens as bytes of its stream.
-* ``completions``: requests and answers in the shape of the OpenAI API.
-* ``faults``: what goes wrong on command.
-* ``server``: all of it over HTTP.
+* ``warmth``: the capacity of an engine during its cold start.
+* ``batch``: continuous batching as a cost model, without I/O or clocks.
+* ``streams``: response streams that can be resumed from an offset.
+* ``progress``: writes a generation's tokens to its stream.
+* ``completions``: requests and responses of the OpenAI chat API.
+* ``faults``: injected faults.
+* ``server``: the HTTP server of the engine.
 """
--- a/packages/daisypick_standins/src/daisypick_standins/engine/batch.py
+++ b/packages/daisypick_standins/src/daisypick_standins/engine/batch.py
@@ -1,10 +1,10 @@
-"""Continuous batching as a cost model, free of I/O and clocks.
+"""Continuous batching as a cost model, without I/O or clocks.
 
-The batch advances in steps; what comes during one joins the next. In a step
-each running generation that has read its prompt makes one token; the others
-share the step's prefill. A fuller batch makes longer steps. Requests are let
-in as they come; the engine knows no priorities. In the cold start, more than
-it bears makes it fail.
+The batch advances in steps; a request that arrives during a step joins the
+next one. In a step each running generation whose prefill is complete emits
+one token; the others share the step's prefill. Steps are longer the fuller
+the batch is. Requests are admitted in order of arrival, without priorities.
+More requests than the cold-start capacity make the engine fail.
 """
 
 import collections
@@ -26,9 +26,10 @@
 
     Attributes:
         prompt: The whole prompt.
-        tokens: The answer.
-        emitted: Tokens made so far.
-        outcome: ``""`` while it runs, then one of the constants.
+        tokens: The tokens of the answer.
+        emitted: Tokens emitted so far.
+        outcome: ``""`` until it ends, then ``DONE``, ``FAILED`` or
+            ``CANCELLED``.
         cached_tokens: Prompt tokens that were cached.
     """
 
@@ -48,20 +49,20 @@
         self._notify = notify
 
     def advance(self) -> None:
-        """Make one token."""
+        """Emit one token."""
         self.emitted += 1
         if self.emitted == len(self.tokens):
             self.outcome = DONE
         self._notify(self)
 
     def end(self, outcome: str) -> None:
-        """End before its time."""
+        """End before all tokens are emitted."""
         self.outcome = outcome
         self._notify(self)
 
 
 class Load(typing.NamedTuple):
-    """What the load report tells."""
+    """The content of the load report."""
 
     running: int
     waiting: int
@@ -70,7 +71,7 @@
 
     @property
     def open(self) -> int:
-        """Requests that run or wait."""
+        """Number of requests that run or wait."""
         return self.running + self.waiting
 
 
@@ -94,12 +95,12 @@
         self._seconds = 0.0
         self.runs_by_marker: collections.Counter[str] = collections.Counter()
         self.busy_slot_seconds = 0.0
-        self.most_running = 0
+        self.max_running = 0
         self.cancelled_count = 0
         self.fall_count = 0
 
     def load(self) -> Load:
-        """Return the load as it is now."""
+        """Return the current load."""
         return Load(
             running=len(self._running),
             waiting=len(self._waiting),
@@ -108,13 +109,13 @@
         )
 
     def is_up(self, now: float) -> bool:
-        """Tell whether it has come back from its last crash."""
+        """Return whether the engine has restarted after its last crash."""
         return now >= self._down_until
 
     def submit(self, generation: Generation, now: float) -> bool:
-        """Let a request in; false if it was too much and failed."""
+        """Queue a request; ``False`` if beyond the cold-start capacity."""
         count = len(self._running) + len(self._waiting) + 1
-        if self.warmth.is_cold(now) and count > self.warmth.bears(now):
+        if self.warmth.is_cold(now) and count > self.warmth.capacity(now):
             self.fall_count += 1
             if self._settings.cold_failure == engine_settings.CRASH:
                 self.crash(now)
@@ -123,7 +124,7 @@
         return True
 
     def cancel(self, generation: Generation) -> None:
-        """Stop a generation that nobody reads."""
+        """Cancel a generation without a reader, unless it has ended."""
         if generation.outcome:
             return
         if generation in self._running:
@@ -134,7 +135,7 @@
         generation.end(CANCELLED)
 
     def crash(self, now: float) -> None:
-        """Fail all that runs or waits and start anew, cold."""
+        """Fail all running and waiting generations and restart, cold."""
         failed = [*self._running, *self._waiting]
         self._running.clear()
         self._waiting.clear()
@@ -145,7 +146,7 @@
             generation.end(FAILED)
 
     def begin_step(self, now: float) -> float:
-        """Begin a step; return its length, 0 if there is no work."""
+        """Begin a step; return its length in seconds, 0 without work."""
         self._admit(now)
         if not self._running:
             return 0.0
@@ -153,7 +154,7 @@
         return self._seconds
 
     def end_step(self) -> None:
-        """Do the work of the step that was begun."""
+        """Apply the work of the step that was begun."""
         self.busy_slot_seconds += self._seconds * len(self._running)
         prefill = self._settings.prefill_rate * self._seconds
         for generation in list(self._running):
@@ -174,8 +175,8 @@
             generation.cached_tokens = cached
             generation.prefill_left = float(prompt_tokens - cached)
             self._running.append(generation)
-            self.runs_by_marker[text.marker_of(generation.prompt)] += 1
-        self.most_running = max(self.most_running, len(self._running))
+            self.runs_by_marker[text.find_marker(generation.prompt)] += 1
+        self.max_running = max(self.max_running, len(self._running))
 
     def _step_seconds(self, now: float) -> float:
         fullness = len(self._running) / self._settings.slots
--- a/packages/daisypick_standins/src/daisypick_standins/engine/completions.py
+++ b/packages/daisypick_standins/src/daisypick_standins/engine/completions.py
@@ -1,4 +1,4 @@
-"""Requests and answers in the shape of the OpenAI chat API.
+"""Requests and responses in the format of the OpenAI chat API.
 
 Examples:
     >>> body = b'{"model": "pine", "messages": [{"content": "hello"}]}'
@@ -23,13 +23,13 @@
 
 
 class StreamOptions(msgspec.Struct):
-    """Options of a streamed answer."""
+    """Options of a streamed response."""
 
     include_usage: bool = False
 
 
 class ChatRequest(msgspec.Struct):
-    """The fields that the stand-in heeds; others are passed over."""
+    """The fields that the stand-in supports; others are ignored."""
 
     model: str
     messages: list[Message]
@@ -44,12 +44,12 @@
 
     @property
     def wants_usage(self) -> bool:
-        """Whether the stream's last chunk tells the usage."""
+        """Whether the stream's last chunk reports the usage."""
         return bool(self.stream_options and self.stream_options.include_usage)
 
 
 def parse(body: bytes) -> ChatRequest | str:
-    """Return a request, or what is wrong with it."""
+    """Return a request, or a description of what is invalid."""
     try:
         return msgspec.json.decode(body, type=ChatRequest)
     except msgspec.DecodeError as error:
@@ -57,7 +57,7 @@
 
 
 def usage(prompt: str, completion: int, cached: int) -> dict[str, object]:
-    """Return the ``usage`` of an answer, in tokens."""
+    """Return the ``usage`` of a response, in tokens."""
     prompt_tokens = text.count_tokens(prompt)
     return {
         "prompt_tokens": prompt_tokens,
@@ -67,36 +67,36 @@
     }
 
 
-def whole_answer(
-    answer_id: str,
+def make_completion(
+    completion_id: str,
     model: str,
     content: str,
     finish_reason: str,
-    used: dict[str, object],
+    token_usage: dict[str, object],
 ) -> dict[str, object]:
-    """Return the body of a whole answer."""
+    """Return the body of a non-streamed response."""
     message = {"role": "assistant", "content": content}
     choice = {"index": 0, "message": message, "finish_reason": finish_reason}
     return {
-        "id": answer_id,
+        "id": completion_id,
         "object": "chat.completion",
         "created": 0,
         "model": model,
         "choices": [choice],
-        "usage": used,
+        "usage": token_usage,
     }
 
 
 class ChunkWriter:
-    """Writes the events of one streamed answer.
+    """Encodes the events of one streamed response.
 
-    The part before a token and the part after it are made once; tokens of
-    the stand-in need no escaping.
+    The parts of an event before and after its token are encoded only once;
+    tokens of the stand-in need no escaping.
     """
 
-    def __init__(self, *, answer_id: str, model: str) -> None:
+    def __init__(self, *, completion_id: str, model: str) -> None:
         self._fields = {
-            "id": answer_id,
+            "id": completion_id,
             "object": "chat.completion.chunk",
             "created": 0,
             "model": model,
@@ -116,9 +116,9 @@
         """Return the event that ends the choice."""
         return self._event([self._choice({}, finish_reason)])
 
-    def used(self, used: dict[str, object]) -> bytes:
-        """Return the event that tells the usage."""
-        return self._event([], usage=used)
+    def token_usage(self, token_usage: dict[str, object]) -> bytes:
+        """Return the event that reports the usage."""
+        return self._event([], usage=token_usage)
 
     def _choice(
         self, delta: dict[str, str], finish_reason: str | None
--- a/packages/daisypick_standins/src/daisypick_standins/engine/faults.py
+++ b/packages/daisypick_standins/src/daisypick_standins/engine/faults.py
@@ -1,19 +1,20 @@
-"""What goes wrong at an engine on command."""
+"""Faults that can be injected into an engine."""
 
 import msgspec
 
 
 class Faults(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """The state of an engine's faults.
+    """The injected faults of an engine.
 
     Attributes:
-        fail: So many requests answer 500 without having run.
-        break_off: So many answers break off after half their tokens.
-        stall: So many streams go silent for good after half their tokens.
-        cross: So many requests get the answer to another request.
+        fail: Number of requests that return 500 without having run.
+        break_off: Number of responses that break off after half their
+            tokens.
+        stall: Number of streams that stall for good after half their tokens.
+        cross: Number of requests that get the answer to another request.
         slow: Factor on the length of each step.
-        crash: Fail all that runs and start anew, now.
-        turn_cold: Become cold now, without another boot id.
+        crash: Fail all running and waiting requests and restart, now.
+        turn_cold: Become cold now, without changing the boot id.
     """
 
     fail: int = 0
--- a/packages/daisypick_standins/src/daisypick_standins/engine/prefix_cache.py
+++ b/packages/daisypick_standins/src/daisypick_standins/engine/prefix_cache.py
@@ -1,8 +1,8 @@
-"""Cached prompt prefixes in limited memory, and events about them.
+"""Cached prompt prefixes in limited memory, and cache events.
 
-Prompts are cut into blocks. A block's name is the hash of the prompt up to
+Prompts are split into blocks. A block's name is the hash of the prompt up to
 its end, so equal names mean equal prefixes. The least recently used block is
-dropped when memory runs out. Events are published late and with gaps.
+evicted when memory runs out. Events are published late and with gaps.
 
 Examples:
     >>> cache = PrefixCache(capacity=128, lag=1.0, loss=0.0, seed=1)
@@ -27,11 +27,11 @@
 _BLOCK_CHARACTERS = BLOCK_TOKENS * text.CHARACTERS_PER_TOKEN
 STORED = "stored"
 REMOVED = "removed"
-_KEPT_EVENTS = 10_000
+_MAX_EVENTS = 10_000
 
 
 class CacheEvent(typing.NamedTuple):
-    """A block came or went; sequence numbers have gaps."""
+    """A block was stored or removed; lost events leave sequence gaps."""
 
     sequence: int
     action: str
@@ -39,7 +39,7 @@
 
 
 def block_names(prompt: str) -> Iterator[str]:
-    """Yield the names of the whole blocks of a prompt."""
+    """Yield the names of the complete blocks of a prompt."""
     digest = xxhash.xxh64()
     for end in range(_BLOCK_CHARACTERS, len(prompt) + 1, _BLOCK_CHARACTERS):
         digest.update(prompt[end - _BLOCK_CHARACTERS : end].encode())
@@ -61,18 +61,18 @@
         )
         self._sequence = 0
         self._events: collections.deque[tuple[float, CacheEvent]] = (
-            collections.deque(maxlen=_KEPT_EVENTS)
+            collections.deque(maxlen=_MAX_EVENTS)
         )
         self.hit_tokens = 0
-        self.asked_tokens = 0
+        self.prompt_tokens = 0
 
     @property
     def used_tokens(self) -> int:
-        """Memory in use."""
+        """Memory in use, in tokens."""
         return len(self._blocks) * BLOCK_TOKENS
 
     def use(self, prompt: str, now: float) -> int:
-        """Store a prompt's blocks; return the tokens that were cached."""
+        """Store a prompt's blocks; return the tokens already cached."""
         hits = 0
         is_prefix = True
         for name in block_names(prompt):
@@ -83,17 +83,17 @@
             is_prefix = False
             self._store(name, now)
         self.hit_tokens += hits * BLOCK_TOKENS
-        self.asked_tokens += text.count_tokens(prompt)
+        self.prompt_tokens += text.count_tokens(prompt)
         return hits * BLOCK_TOKENS
 
     def clear(self, now: float) -> None:
-        """Drop all blocks, as a restart does."""
+        """Remove all blocks, as a restart does."""
         for name in self._blocks:
             self._publish(REMOVED, name, now)
         self._blocks.clear()
 
     def events_after(self, sequence: int, now: float) -> list[CacheEvent]:
-        """Return the events that are published by now."""
+        """Return the events after ``sequence`` that are published by now."""
         return [
             event
             for at, event in self._events
--- a/packages/daisypick_standins/src/daisypick_standins/engine/progress.py
+++ b/packages/daisypick_standins/src/daisypick_standins/engine/progress.py
@@ -1,4 +1,4 @@
-"""Turns the progress of a generation into the bytes of a stream."""
+"""Writes the progress of a generation to its stream."""
 
 from daisypick_standins.engine import batch as engine_batch
 from daisypick_standins.engine import completions
@@ -7,9 +7,10 @@
 
 
 class StreamProgress:
-    """Called after each token and at the end of one generation.
+    """Callback after each token and at the end of one generation.
 
-    It takes the faults of half-made answers, one of each, when it is made.
+    Its constructor consumes one ``break_off`` and one ``stall`` fault, if
+    there are any.
     """
 
     def __init__(
@@ -29,7 +30,7 @@
         faults.stall = max(0, faults.stall - 1)
 
     def __call__(self, generation: engine_batch.Generation) -> None:
-        """Write what is new."""
+        """Write the new token, or close the stream."""
         is_half = generation.emitted * 2 >= len(generation.tokens)
         if self._stream.is_closed or (is_half and self._stalls):
             return
@@ -51,10 +52,10 @@
     def _last_events(self, generation: engine_batch.Generation) -> bytes:
         events = self._writer.finish("stop")
         if self._wants_usage:
-            used = completions.usage(
+            token_usage = completions.usage(
                 generation.prompt,
                 generation.emitted,
                 generation.cached_tokens,
             )
-            events += self._writer.used(used)
+            events += self._writer.token_usage(token_usage)
         return events + completions.DONE_EVENT
--- a/packages/daisypick_standins/src/daisypick_standins/engine/server.py
+++ b/packages/daisypick_standins/src/daisypick_standins/engine/server.py
@@ -1,8 +1,9 @@
-"""The engine over HTTP.
+"""The HTTP server of the engine.
 
-Paths below ``/standin`` are no part of an engine: they command faults and
-tell what ran. Every answer carries ``X-Boot-Id``, and ``X-Request-Id`` as the
-request gave it.
+Paths below ``/standin`` are not part of an engine's API: they inject faults
+and report which requests ran. The engine's responses have ``X-Boot-Id``;
+successful ones to completions and streams also have ``X-Request-Id``, the
+id of the request or a generated one.
 """
 
 import collections
@@ -26,8 +27,8 @@
 from daisypick_standins.engine import streams as engine_streams
 from daisypick_standins.engine import text
 
-_CHECK_SECONDS = 0.1
-_KEPT_LOADS = 256
+_POLL_SECONDS = 0.1
+_MAX_LOADS = 256
 _EVENT_STREAM = ("Content-Type", "text/event-stream")
 
 
@@ -35,8 +36,8 @@
     """The stand-in: its batch, its faults and its server.
 
     Attributes:
-        batch: The generations and what was counted.
-        faults: What goes wrong now; change it by ``set_faults``.
+        batch: The generations and their counters.
+        faults: The faults injected now; change them with ``set_faults``.
     """
 
     def __init__(
@@ -53,7 +54,7 @@
         self._streams = engine_streams.StreamTable()
         self._ids = itertools.count(1)
         self._loads: collections.deque[tuple[float, engine_batch.Load]] = (
-            collections.deque(maxlen=_KEPT_LOADS)
+            collections.deque(maxlen=_MAX_LOADS)
         )
         self._work = event.Event()
         self._stepper: gevent.Greenlet | None = None
@@ -65,18 +66,18 @@
         return self._server.address
 
     def start(self) -> None:
-        """Listen and run the batch."""
+        """Start listening and run the batch."""
         self._server.start()
         self._stepper = gevent.spawn(self._step_forever)
 
     def stop(self) -> None:
-        """Stop, breaking all connections."""
+        """Stop and close all connections."""
         self._server.stop()
         if self._stepper is not None:
             self._stepper.kill()
 
     def set_faults(self, faults: engine_faults.Faults) -> None:
-        """Replace the state of the faults."""
+        """Replace the injected faults."""
         self.faults = faults
         if faults.crash:
             self.batch.crash(self._clock())
@@ -94,7 +95,7 @@
             ("GET", "/v1/cache_events", self._cache_events),
             ("GET", "/health", self._health),
             ("GET", "/standin/runs", self._runs),
-            ("POST", "/standin/faults", self._command),
+            ("POST", "/standin/faults", self._inject_faults),
         ]
         for method, pattern, handler in table:
             routes.route(method, pattern)(handler)
@@ -103,7 +104,7 @@
     def _step_forever(self) -> None:
         while True:
             now = self._clock()
-            if not self._loads or now - self._loads[-1][0] > _CHECK_SECONDS:
+            if not self._loads or now - self._loads[-1][0] > _POLL_SECONDS:
                 self._loads.append((now, self.batch.load()))
             seconds = self.batch.begin_step(now)
             if seconds:
@@ -111,9 +112,9 @@
                 self.batch.end_step()
             else:
                 self._work.clear()
-                self._work.wait(_CHECK_SECONDS)
+                self._work.wait(_POLL_SECONDS)
 
-    def _complete(self, request: web.Request) -> web.Answer:
+    def _complete(self, request: web.Request) -> web.Response:
         chat = completions.parse(request.body)
         if isinstance(chat, str):
             return self._error(400, chat)
@@ -122,10 +123,10 @@
         if self.faults.fail:
             self.faults.fail -= 1
             return self._error(500, "engine failed")
-        answer_id = request.header("X-Request-Id") or f"g{next(self._ids)}"
+        completion_id = request.header("X-Request-Id") or f"g{next(self._ids)}"
         if chat.stream:
-            return self._complete_streaming(request, chat, answer_id)
-        return self._complete_whole(request, chat, answer_id)
+            return self._complete_streaming(request, chat, completion_id)
+        return self._complete_whole(request, chat, completion_id)
 
     def _generation(
         self,
@@ -144,77 +145,81 @@
         )
 
     def _submit(self, generation: engine_batch.Generation) -> bool:
-        is_taken = self.batch.submit(generation, self._clock())
+        is_accepted = self.batch.submit(generation, self._clock())
         self._work.set()
-        return is_taken
+        return is_accepted
 
     def _complete_whole(
         self,
         request: web.Request,
         chat: completions.ChatRequest,
-        answer_id: str,
-    ) -> web.Answer:
+        completion_id: str,
+    ) -> web.Response:
         ended = event.Event()
         generation = self._generation(
             chat, lambda g: ended.set() if g.outcome else None
         )
         if not self._submit(generation):
             return self._error(500, "too much in the cold start")
-        while not ended.wait(_CHECK_SECONDS):
-            if _is_gone(request.environ["standin.socket"]):
+        while not ended.wait(_POLL_SECONDS):
+            if _is_disconnected(request.environ["standin.socket"]):
                 self.batch.cancel(generation)
         if generation.outcome != engine_batch.DONE:
             return self._error(500, f"generation {generation.outcome}")
         if self.faults.break_off:
             self.faults.break_off -= 1
             request.break_connection()
-        used = completions.usage(
+        token_usage = completions.usage(
             generation.prompt, generation.emitted, generation.cached_tokens
         )
-        answer = completions.whole_answer(
-            answer_id,
+        completion = completions.make_completion(
+            completion_id,
             chat.model,
             "".join(generation.tokens),
             "stop",
-            used,
+            token_usage,
+        )
+        return self._add_id_headers(
+            web.json_response(completion), completion_id
         )
-        return self._mark(web.json_answer(answer), answer_id)
 
     def _complete_streaming(
         self,
         request: web.Request,
         chat: completions.ChatRequest,
-        answer_id: str,
-    ) -> web.Answer:
-        writer = completions.ChunkWriter(answer_id=answer_id, model=chat.model)
+        completion_id: str,
+    ) -> web.Response:
+        writer = completions.ChunkWriter(
+            completion_id=completion_id, model=chat.model
+        )
         stream = engine_streams.Stream(
             cancel=lambda: self.batch.cancel(generation)
         )
-        note = progress.StreamProgress(
+        on_progress = progress.StreamProgress(
             stream=stream,
             writer=writer,
             wants_usage=chat.wants_usage,
             faults=self.faults,
         )
-        generation = self._generation(chat, note)
+        generation = self._generation(chat, on_progress)
         if not self._submit(generation):
             return self._error(500, "too much in the cold start")
-        self._streams.add(answer_id, stream)
-        return self._follow_answer(request, stream, 0, answer_id)
+        self._streams.add(completion_id, stream)
+        return self._stream_response(request, stream, 0, completion_id)
 
-    def _follow_answer(
+    def _stream_response(
         self,
         request: web.Request,
         stream: engine_streams.Stream,
         offset: int,
-        answer_id: str,
-    ) -> web.Answer:
+        completion_id: str,
+    ) -> web.Response:
         stream.readers += 1
-        chunks = self._follow(request, stream, offset)
-        answer = web.Answer(headers=[_EVENT_STREAM], chunks=chunks)
-        return self._mark(answer, answer_id)
+        chunks = self._read_chunks(request, stream, offset)
+        response = web.Response(headers=[_EVENT_STREAM], chunks=chunks)
+        return self._add_id_headers(response, completion_id)
 
-    def _follow(
+    def _read_chunks(
         self,
         request: web.Request,
         stream: engine_streams.Stream,
@@ -229,10 +234,10 @@
                     yield data
                 elif stream.is_closed:
                     break
-                elif _is_gone(sock):
+                elif _is_disconnected(sock):
                     return
                 else:
-                    stream.wait(_CHECK_SECONDS * 5)
+                    stream.wait(_POLL_SECONDS * 5)
             if stream.is_broken:
                 request.break_connection()
         finally:
@@ -240,24 +245,24 @@
             grace = self.settings.resume_seconds
             gevent.spawn_later(grace, stream.cancel_unread)
 
-    def _resume(self, request: web.Request, stream_id: str) -> web.Answer:
+    def _resume(self, request: web.Request, stream_id: str) -> web.Response:
         stream = self._streams.get(stream_id)
         if stream is None:
             return self._error(404, "no such stream")
         offset = request.query.get("from", "0")
         if not offset.isdigit() or int(offset) > len(stream.data):
             return self._error(416, f"from: {offset} is not in the stream")
-        return self._follow_answer(request, stream, int(offset), stream_id)
+        return self._stream_response(request, stream, int(offset), stream_id)
 
-    def _cancel(self, request: web.Request, stream_id: str) -> web.Answer:
+    def _cancel(self, request: web.Request, stream_id: str) -> web.Response:
         del request
         stream = self._streams.get(stream_id)
         if stream is None:
             return self._error(404, "no such stream")
         stream.cancel()
-        return self._mark(web.Answer(status=204), stream_id)
+        return self._add_id_headers(web.Response(status=204), stream_id)
 
-    def _load(self, request: web.Request) -> web.Answer:
+    def _load(self, request: web.Request) -> web.Response:
         del request
         until = self._clock() - self.settings.load_lag
         known = [load for at, load in self._loads if at <= until]
@@ -268,48 +273,50 @@
                 running=0, waiting=0, slots=self.settings.slots, cached_tokens=0
             )
         )
-        return self._mark(web.json_answer(load._asdict()))
+        return self._add_id_headers(web.json_response(load._asdict()))
 
-    def _cache_events(self, request: web.Request) -> web.Answer:
+    def _cache_events(self, request: web.Request) -> web.Response:
         after = request.query.get("after", "0")
         if not after.isdigit():
             return self._error(400, f"after: {after} is no number")
         events = self.batch.cache.events_after(int(after), self._clock())
         body = {"events": [entry._asdict() for entry in events]}
-        return self._mark(web.json_answer(body))
+        return self._add_id_headers(web.json_response(body))
 
-    def _health(self, request: web.Request) -> web.Answer:
+    def _health(self, request: web.Request) -> web.Response:
         del request
         is_up = self.batch.is_up(self._clock())
-        return self._mark(web.Answer(status=200 if is_up else 503))
+        return self._add_id_headers(web.Response(status=200 if is_up else 503))
 
-    def _runs(self, request: web.Request) -> web.Answer:
+    def _runs(self, request: web.Request) -> web.Response:
         del request
-        return web.json_answer(self.batch.runs_by_marker)
+        return web.json_response(self.batch.runs_by_marker)
 
-    def _command(self, request: web.Request) -> web.Answer:
+    def _inject_faults(self, request: web.Request) -> web.Response:
         try:
             faults = msgspec.json.decode(
                 request.body, type=engine_faults.Faults
             )
         except msgspec.DecodeError as error:
-            return web.json_answer({"error": str(error)}, 400)
+            return web.json_response({"error": str(error)}, 400)
         self.set_faults(faults)
-        return web.json_answer(faults)
+        return web.json_response(faults)
 
-    def _error(self, status: int, message: str) -> web.Answer:
+    def _error(self, status: int, message: str) -> web.Response:
         body = {"error": {"message": message, "type": "engine"}}
-        return self._mark(web.json_answer(body, status))
+        return self._add_id_headers(web.json_response(body, status))
 
-    def _mark(self, answer: web.Answer, answer_id: str = "") -> web.Answer:
-        marks = [("X-Boot-Id", self.batch.warmth.boot_id)]
-        if answer_id:
-            marks.append(("X-Request-Id", answer_id))
-        return answer._replace(headers=[*answer.headers, *marks])
+    def _add_id_headers(
+        self, response: web.Response, completion_id: str = ""
+    ) -> web.Response:
+        id_headers = [("X-Boot-Id", self.batch.warmth.boot_id)]
+        if completion_id:
+            id_headers.append(("X-Request-Id", completion_id))
+        return response._replace(headers=[*response.headers, *id_headers])
 
 
-def _is_gone(sock: socket.socket) -> bool:
-    """Tell whether the other end has closed the connection."""
+def _is_disconnected(sock: socket.socket) -> bool:
+    """Return whether the peer has closed the connection."""
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLIN | select.POLLRDHUP)
     return any(
--- a/packages/daisypick_standins/src/daisypick_standins/engine/settings.py
+++ b/packages/daisypick_standins/src/daisypick_standins/engine/settings.py
@@ -1,4 +1,4 @@
-"""What one engine is like."""
+"""Parameters of an engine."""
 
 import typing
 
@@ -7,26 +7,27 @@
 
 
 class EngineSettings(typing.NamedTuple):
-    """The cost model and the manners of an engine.
+    """The cost model and the behaviour of an engine.
 
     Attributes:
         slots: Requests in one batch; more wait first come, first served.
-        prefill_rate: Prompt tokens read a second, by all together.
-        token_interval: Seconds a step with an almost empty batch.
+        prefill_rate: Prompt tokens a second over all requests.
+        token_interval: Seconds per step with an almost empty batch.
         full_slowdown: Factor on the interval when the batch is full.
         cache_tokens: Memory for cached prefixes, tokens.
-        cold_slots: Requests that it bears when it has just started.
-        cold_slowdown: Factor on the interval in the cold start.
-        cold_failure: ``CRASH`` fails all that runs and starts anew,
-            ``ERROR`` answers 500 to what is too much.
+        cold_slots: Requests that it can handle just after its start.
+        cold_slowdown: Factor on the interval during the cold start.
+        cold_failure: What a request beyond the cold-start capacity causes:
+            ``CRASH`` fails all requests and restarts the engine, ``ERROR``
+            only returns 500 to this request.
         warm_tokens: Tokens served until it is warm.
         warm_seconds: Seconds until it is warm without serving.
-        restart_seconds: Seconds after a crash in which it answers 503.
-        load_lag: Seconds by which the load report is late.
-        event_lag: Seconds by which cache events are late.
-        event_loss: Share of cache events that are never published.
-        resume_seconds: Seconds for which it goes on generating a stream
-            that nobody reads; then it cancels it.
+        restart_seconds: Seconds after a crash in which it returns 503.
+        load_lag: Delay of the load report, in seconds.
+        event_lag: Delay of cache events, in seconds.
+        event_loss: Fraction of cache events that are never published.
+        resume_seconds: Seconds for which generation continues after the
+            last reader of a stream has gone; then it is cancelled.
         seed: Seed of boot ids and of lost events.
     """
 
--- a/packages/daisypick_standins/src/daisypick_standins/engine/streams.py
+++ b/packages/daisypick_standins/src/daisypick_standins/engine/streams.py
@@ -1,7 +1,7 @@
-"""Answers as bytes that can be read again from an offset.
+"""Response streams that can be resumed from an offset.
 
-A stream grows while its generation runs, whether or not anybody reads it,
-and is kept for a while after its end.
+A stream grows while its generation runs, even without a reader, and is kept
+for a while after its end.
 """
 
 import collections
@@ -9,17 +9,17 @@
 
 from gevent import event
 
-_KEPT_STREAMS = 1024
+_MAX_STREAMS = 1024
 
 
 class Stream:
-    """The bytes of one answer.
+    """The bytes of one response.
 
     Attributes:
         data: All bytes so far.
-        is_closed: Whether no more will come.
-        is_broken: Whether it ended before its time.
-        readers: Connections that read it now.
+        is_closed: Whether the stream has ended.
+        is_broken: Whether it ended before it was complete.
+        readers: Number of connections that read it now.
     """
 
     def __init__(self, *, cancel: Callable[[], None]) -> None:
@@ -31,22 +31,22 @@
         self._change = event.Event()
 
     def write(self, data: bytes) -> None:
-        """Add bytes and wake the readers."""
+        """Append bytes and wake the readers."""
         self.data += data
         self._wake()
 
     def close(self, *, is_broken: bool = False) -> None:
-        """Note that no more will come."""
+        """End the stream and wake the readers."""
         self.is_closed = True
         self.is_broken = is_broken
         self._wake()
 
     def read(self, offset: int) -> bytes:
-        """Return what is there from an offset on."""
+        """Return the bytes from an offset on."""
         return bytes(self.data[offset:])
 
     def wait(self, timeout: float | None = None) -> None:
-        """Wait until more is there."""
+        """Wait until the stream grows or ends."""
         self._change.wait(timeout)
 
     def cancel(self) -> None:
@@ -55,7 +55,7 @@
             self._cancel()
 
     def cancel_unread(self) -> None:
-        """Cancel the generation if nobody reads the stream."""
+        """Cancel the generation if the stream has no readers."""
         if not self.readers:
             self.cancel()
 
@@ -65,7 +65,7 @@
 
 
 class StreamTable:
-    """Streams by id, so many of the last ones."""
+    """The most recent streams, by id."""
 
     def __init__(self) -> None:
         self._stream_by_id: collections.OrderedDict[str, Stream] = (
@@ -73,10 +73,10 @@
         )
 
     def add(self, stream_id: str, stream: Stream) -> None:
-        """Keep a stream; the oldest closed ones are dropped."""
+        """Add a stream; above the limit, drop the oldest closed one."""
         self._stream_by_id[stream_id] = stream
         self._stream_by_id.move_to_end(stream_id)
-        if len(self._stream_by_id) <= _KEPT_STREAMS:
+        if len(self._stream_by_id) <= _MAX_STREAMS:
             return
         for old_id, old in list(self._stream_by_id.items()):
             if old.is_closed:
--- a/packages/daisypick_standins/src/daisypick_standins/engine/text.py
+++ b/packages/daisypick_standins/src/daisypick_standins/engine/text.py
@@ -1,9 +1,9 @@
-"""The answer as a function of the request, and its check.
+"""The answer text as a function of the request, and its check.
 
 A prompt may hold a directive ``[marker=NAME tokens=COUNT]``. The answer
-begins with the marker, goes on with words that follow from the prompt and
-ends with a checksum of all before, so that whoever reads it can tell that it
-is whole and the answer to its own request.
+begins with the marker, continues with words derived from the prompt and ends
+with a checksum of the text before it, so that a reader can verify that the
+answer is complete and belongs to its own request.
 
 Examples:
     >>> answer = make_tokens("Plan a visit [marker=m7 tokens=5]")
@@ -47,14 +47,14 @@
 CHARACTERS_PER_TOKEN = 4
 
 
-def marker_of(prompt: str) -> str:
-    """Return the marker of a prompt, ``""`` if it has none."""
+def find_marker(prompt: str) -> str:
+    """Return the marker of a prompt, or ``""`` if it has none."""
     match = _DIRECTIVE.search(prompt)
     return match.group(1) if match else ""
 
 
 def count_tokens(text: str) -> int:
-    """Return how many tokens a prompt counts as."""
+    """Return the number of tokens of a prompt."""
     return max(1, len(text) // CHARACTERS_PER_TOKEN)
 
 
@@ -66,7 +66,7 @@
     if count is None:
         count = MIN_TOKENS + seed % _DEFAULT_SPREAD
     count = max(MIN_TOKENS, min(count, max_tokens, MAX_TOKENS))
-    tokens = [f"marker={marker_of(prompt)}"]
+    tokens = [f"marker={find_marker(prompt)}"]
     for index in range(count - MIN_TOKENS):
         tokens.append(" " + _WORDS[(seed + index * index) % len(_WORDS)])
     tokens.append(_SUM + _checksum("".join(tokens)))
@@ -74,7 +74,7 @@
 
 
 def check(answer: str, marker: str) -> str:
-    """Return what is wrong with an answer, ``""`` if it is whole and own."""
+    """Return the error of an answer, ``""`` if complete and for ``marker``."""
     body, found, checksum = answer.rpartition(_SUM)
     if not found or checksum != _checksum(body):
         return "answer is not whole"
--- a/packages/daisypick_standins/src/daisypick_standins/engine/warmth.py
+++ b/packages/daisypick_standins/src/daisypick_standins/engine/warmth.py
@@ -1,15 +1,15 @@
-"""What an engine bears in its cold start.
+"""The capacity of an engine during its cold start.
 
-An engine that has just started bears ``cold_slots`` requests; it gets warm
-with the tokens that it serves, or slowly with time. A restart changes its
-boot id; it can also turn cold without one.
+An engine that has just started can handle ``cold_slots`` requests; it warms
+up with the tokens that it serves, or slowly with time. A restart changes its
+boot id; it can also turn cold without a restart.
 
 Examples:
     >>> from daisypick_standins.engine import settings
     >>> cold = Warmth(settings=settings.EngineSettings(warm_tokens=60))
-    >>> cold.bears(0.0), cold.is_cold(0.0)
+    >>> cold.capacity(0.0), cold.is_cold(0.0)
     (2, True)
-    >>> cold.serve(30); cold.bears(0.0)
+    >>> cold.serve(30); cold.capacity(0.0)
     5
     >>> cold.serve(30); cold.is_cold(0.0)
     False
@@ -34,7 +34,7 @@
         self.restart_count = 0
 
     def serve(self, tokens: int) -> None:
-        """Note served tokens."""
+        """Record served tokens."""
         self._served += tokens
 
     def turn_cold(self, now: float) -> None:
@@ -43,19 +43,19 @@
         self._served = 0
 
     def restart(self, now: float) -> None:
-        """Start anew, with another boot id."""
+        """Restart cold, with a new boot id."""
         self.boot_id = self._new_boot_id()
         self.restart_count += 1
         self.turn_cold(now)
 
-    def bears(self, now: float) -> int:
-        """Return how many requests it bears at once."""
+    def capacity(self, now: float) -> int:
+        """Return how many concurrent requests it can handle."""
         cold = self._settings.cold_slots
         gain = (self._settings.slots - cold) * self._fraction(now)
         return cold + int(gain)
 
     def is_cold(self, now: float) -> bool:
-        """Tell whether it is still in its cold start."""
+        """Return whether it is still in its cold start."""
         return self._fraction(now) < 1.0
 
     def _fraction(self, now: float) -> float:
--- a/packages/daisypick_standins/src/daisypick_standins/plain/__init__.py
+++ b/packages/daisypick_standins/src/daisypick_standins/plain/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-in of a plain service, such as bookings or payments.
+"""Stand-in for a plain service, such as bookings or payments.
 
-* ``faults``: what goes wrong on command.
-* ``server``: the service over HTTP; it counts what it runs by marker.
+* ``faults``: injected faults.
+* ``server``: the HTTP server; it counts runs by marker.
 """
--- a/packages/daisypick_standins/src/daisypick_standins/plain/faults.py
+++ b/packages/daisypick_standins/src/daisypick_standins/plain/faults.py
@@ -1,18 +1,20 @@
-"""What goes wrong at a plain service on command."""
+"""Faults that can be injected into a plain service."""
 
 import msgspec
 
 
 class Faults(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """The state of a plain service's faults.
+    """The injected faults of a plain service.
 
     Attributes:
         delay: Seconds that each call takes.
-        refuse: So many calls answer 503 without having run.
-        fail: So many calls run, then answer 500.
-        lose: So many calls run, then their connection breaks unanswered.
-        half: So many calls run, then break off in the middle of the body.
-        stall: So many calls run, then stay silent until the faults change.
+        refuse: Number of calls that return 503 without having run.
+        fail: Number of calls that run, then return 500.
+        lose: Number of calls that run, then lose their connection before
+            the response.
+        half: Number of calls that run, then break off after half the body.
+        stall: Number of calls that run, then do not respond; their
+            connections break when the faults change.
     """
 
     delay: float = 0.0
--- a/packages/daisypick_standins/src/daisypick_standins/plain/server.py
+++ b/packages/daisypick_standins/src/daisypick_standins/plain/server.py
@@ -1,9 +1,10 @@
-"""The plain service over HTTP.
+"""The HTTP server of the plain service.
 
-Any method and path is one call, for instance ``POST /bookings``. The header
-``X-Marker`` names it; a marker that was counted twice ran twice. With ``X-Echo:
-body`` the answer is the request's body, byte for byte; else it is JSON that
-tells what arrived. Paths below ``/standin`` command faults and tell the runs.
+A request with any method and path is one call, for instance
+``POST /bookings``. The header ``X-Marker`` identifies it; a marker that was
+counted twice ran twice. With ``X-Echo: body`` the response is the request's
+body, byte for byte; otherwise it is JSON that describes the request. Paths
+below ``/standin`` inject faults and report the runs.
 """
 
 import collections
@@ -22,11 +23,11 @@
 
 
 class PlainService:
-    """The stand-in: its counts, its faults and its server.
+    """The stand-in: its counters, its faults and its server.
 
     Attributes:
-        runs_by_marker: How often each marked call ran.
-        faults: What goes wrong now; change it by ``set_faults``.
+        runs_by_marker: How often the call of each marker ran.
+        faults: The faults injected now; change them with ``set_faults``.
     """
 
     def __init__(self, *, port: int = 0, delay: float = 0.0) -> None:
@@ -35,7 +36,7 @@
         self._fault_change = event.Event()
         routes = web.Routes()
         routes.route("GET", "/standin/runs")(self._runs)
-        routes.route("POST", "/standin/faults")(self._command)
+        routes.route("POST", "/standin/faults")(self._inject_faults)
         routes.route("*", "/.*")(self._call)
         self._server = web.Server(app=routes, port=port)
 
@@ -45,37 +46,37 @@
         return self._server.address
 
     def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop, breaking all connections."""
+        """Stop and close all connections."""
         self._server.stop()
 
     def set_faults(self, faults: plain_faults.Faults) -> None:
-        """Replace the state of the faults."""
+        """Replace the injected faults."""
         self.faults = faults
         self._fault_change.set()
         self._fault_change = event.Event()
 
-    def _call(self, request: web.Request) -> web.Answer:
+    def _call(self, request: web.Request) -> web.Response:
         faults = self.faults
         if faults.refuse:
             faults.refuse -= 1
-            return web.json_answer({"error": "refused"}, 503)
+            return web.json_response({"error": "refused"}, 503)
         marker = request.header("X-Marker") or NO_MARKER
         self.runs_by_marker[marker] += 1
         if faults.delay:
             gevent.sleep(faults.delay)
-        return self._spoil(request, self._answer(request, marker))
+        return self._apply_faults(request, self._make_response(request, marker))
 
-    def _answer(self, request: web.Request, marker: str) -> web.Answer:
+    def _make_response(self, request: web.Request, marker: str) -> web.Response:
         if request.header("X-Echo") == "body":
             kind = request.header("Content-Type") or "application/octet-stream"
             headers = [("Content-Type", kind), ("X-Marker", marker)]
-            return web.Answer(headers=headers, body=request.body)
+            return web.Response(headers=headers, body=request.body)
         status = _CREATED if request.method == "POST" else 200
-        answer = web.json_answer(
+        response = web.json_response(
             {
                 "marker": marker,
                 "run": self.runs_by_marker[marker],
@@ -88,15 +89,17 @@
             },
             status,
         )
-        headers = [*answer.headers, ("X-Marker", marker)]
-        return answer._replace(headers=headers)
+        headers = [*response.headers, ("X-Marker", marker)]
+        return response._replace(headers=headers)
 
-    def _spoil(self, request: web.Request, answer: web.Answer) -> web.Answer:
-        """Apply the faults of a call that has run."""
+    def _apply_faults(
+        self, request: web.Request, response: web.Response
+    ) -> web.Response:
+        """Apply the faults that affect a call after it has run."""
         faults = self.faults
         if faults.fail:
             faults.fail -= 1
-            return web.json_answer({"error": "failed"}, 500)
+            return web.json_response({"error": "failed"}, 500)
         if faults.lose:
             faults.lose -= 1
             request.break_connection()
@@ -106,26 +109,26 @@
             request.break_connection()
         elif faults.half:
             faults.half -= 1
-            size = ("Content-Length", str(len(answer.body)))
-            return answer._replace(
-                headers=[*answer.headers, size],
-                chunks=_half(request, answer.body),
+            size = ("Content-Length", str(len(response.body)))
+            return response._replace(
+                headers=[*response.headers, size],
+                chunks=_send_half(request, response.body),
             )
-        return answer
+        return response
 
-    def _runs(self, request: web.Request) -> web.Answer:
+    def _runs(self, request: web.Request) -> web.Response:
         del request
-        return web.json_answer(self.runs_by_marker)
+        return web.json_response(self.runs_by_marker)
 
-    def _command(self, request: web.Request) -> web.Answer:
+    def _inject_faults(self, request: web.Request) -> web.Response:
         try:
             faults = msgspec.json.decode(request.body, type=plain_faults.Faults)
         except msgspec.DecodeError as error:
-            return web.json_answer({"error": str(error)}, 400)
+            return web.json_response({"error": str(error)}, 400)
         self.set_faults(faults)
-        return web.json_answer(faults)
+        return web.json_response(faults)
 
 
-def _half(request: web.Request, body: bytes) -> Iterator[bytes]:
+def _send_half(request: web.Request, body: bytes) -> Iterator[bytes]:
     yield body[: len(body) // 2]
     request.break_connection()
--- a/packages/daisypick_standins/src/daisypick_standins/platform/__init__.py
+++ b/packages/daisypick_standins/src/daisypick_standins/platform/__init__.py
@@ -1,7 +1,7 @@
-"""Stand-in of the platform.
+"""Stand-in for the platform.
 
-* ``store``: objects with versions, as a plain object.
-* ``vms``: the lagging list of VMs.
-* ``faults``: what goes wrong on command.
-* ``server``: all of it over HTTP, see ``docs/PLATFORM_API.md``.
+* ``store``: an in-memory store of versioned objects.
+* ``vms``: the list of VMs, which lags.
+* ``faults``: injected faults.
+* ``server``: the HTTP API, see ``docs/PLATFORM_API.md``.
 """
--- a/packages/daisypick_standins/src/daisypick_standins/platform/faults.py
+++ b/packages/daisypick_standins/src/daisypick_standins/platform/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong at the platform on command."""
+"""Faults that can be injected into the platform."""
 
 import msgspec
 
@@ -8,18 +8,19 @@
 
 
 class Faults(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """The state of the platform's faults.
+    """The injected faults of the platform.
 
     Attributes:
-        outage: ``UNAVAILABLE`` answers 503 to all, ``SILENT`` holds each
-            call until the outage ends and then breaks its connection
-            without having done it.
-        delay: Seconds before each call is looked at.
-        lose_answers: So many writes take effect, then their connection
-            breaks before the answer.
-        lose_silently: So many writes take effect, then nothing is heard.
-        server_errors: So many writes take effect, then answer 500.
-        abort_writes: So many writes are given up with 409.
+        outage: ``UNAVAILABLE`` returns 503 to all calls, ``SILENT`` blocks
+            each call until the faults change and then breaks its connection
+            without having executed it.
+        delay: Seconds before each call is handled.
+        lose_answers: Number of writes that take effect, then lose their
+            connection before the response.
+        lose_silently: Number of writes that take effect, then do not
+            respond; their connections break when the faults change.
+        server_errors: Number of writes that take effect, then return 500.
+        abort_writes: Number of writes that are aborted with 409.
     """
 
     outage: str = NONE
--- a/packages/daisypick_standins/src/daisypick_standins/platform/store.py
+++ b/packages/daisypick_standins/src/daisypick_standins/platform/store.py
@@ -1,4 +1,4 @@
-"""Objects with versions, conditional updates and listeners.
+"""An in-memory store of versioned objects with conditional updates.
 
 Examples:
     >>> store = ObjectStore()
@@ -19,7 +19,7 @@
 
 
 class Refusal(enum.Enum):
-    """Why the store did not do what it was asked."""
+    """Why the store refused an operation."""
 
     CONFLICT = "conflict"
     NOT_FOUND = "not found"
@@ -32,7 +32,7 @@
 
 
 class Item(typing.NamedTuple):
-    """A stored object; versions are never used twice, also after a delete."""
+    """A stored object; versions are never reused, even after a delete."""
 
     version: str
     value: bytes
@@ -50,17 +50,17 @@
         self._listeners: list[Listener] = []
 
     def on_change(self, listener: Listener) -> None:
-        """Call ``listener(kind, name)`` after each write."""
+        """Register ``listener(kind, name)``, called after each write."""
         self._listeners.append(listener)
 
     def get(self, kind: str, name: str) -> Item | None:
-        """Return an object, or ``None``."""
+        """Return an object, or ``None`` if there is none."""
         return self._item_by_key.get((kind, name))
 
     def put(
         self, kind: str, name: str, value: bytes, *, if_version: str | None
     ) -> Item | Refusal:
-        """Write if the version matches; ``None`` asks for a new object."""
+        """Write if the version matches; ``None`` requires a new object."""
         if len(value) > MAX_VALUE_BYTES:
             return TOO_LARGE
         if self._version(kind, name) != if_version:
@@ -74,7 +74,7 @@
     def delete(
         self, kind: str, name: str, *, if_version: str
     ) -> Refusal | None:
-        """Delete if the version matches; ``None`` means done."""
+        """Delete if the version matches; return ``None`` on success."""
         version = self._version(kind, name)
         if version is None:
             return NOT_FOUND
--- a/packages/daisypick_standins/src/daisypick_standins/platform/vms.py
+++ b/packages/daisypick_standins/src/daisypick_standins/platform/vms.py
@@ -1,4 +1,4 @@
-"""The list of live and leaving VMs, which lags behind what happens.
+"""The list of live and leaving VMs, which lags behind their actual state.
 
 Examples:
     >>> vms = VmList(lag=5.0)
@@ -21,20 +21,22 @@
 
 
 class VmList:
-    """VMs as they were ``lag`` seconds ago."""
+    """The VMs in their state of ``lag`` seconds ago."""
 
     def __init__(self, *, lag: float = 0.0) -> None:
         self.lag = lag
         self._changes: list[tuple[float, Vm]] = []
 
     def set(self, vm: Vm, now: float) -> None:
-        """Note what became of a VM."""
+        """Record the state of a VM."""
         self._changes.append((now, vm))
 
     def list(self, now: float) -> list[Vm]:
-        """Return what the platform knows by now, by address."""
+        """Return the VMs known at this time, sorted by address."""
         known = {
-            vm.address: vm for at, vm in self._changes if self._old(at, now)
+            vm.address: vm
+            for at, vm in self._changes
+            if self._is_visible(at, now)
         }
         return [
             known[address]
@@ -42,5 +44,5 @@
             if known[address].state != "gone"
         ]
 
-    def _old(self, at: float, now: float) -> bool:
+    def _is_visible(self, at: float, now: float) -> bool:
         return at + self.lag <= now
--- a/packages/daisypick_standins/src/daisypick_standins/web.py
+++ b/packages/daisypick_standins/src/daisypick_standins/web.py
@@ -1,14 +1,14 @@
-"""The little HTTP server that the stand-ins share.
+"""The small HTTP server that the stand-ins share.
 
-A stand-in is a table of routes: each names a method, a pattern of the path
-and a function from ``Request`` to ``Answer``. A handler can also break its
-connection, which is how answers get lost.
+A stand-in has a table of routes: each has a method, a pattern of the path
+and a function from ``Request`` to ``Response``. A handler can also break its
+connection, which simulates a lost response.
 
 Examples:
     >>> routes = Routes()
     >>> @routes.route("GET", "/hello/(?P<name>.+)")
     ... def hello(request, name):
-    ...     return Answer(body=name.encode())
+    ...     return Response(body=name.encode())
     >>> handler, arguments = routes.find("GET", "/hello/farm")
     >>> handler(None, **arguments).body
     b'farm'
@@ -31,12 +31,12 @@
 
 
 class Request(typing.NamedTuple):
-    """A request as a handler sees it.
+    """A request as passed to a handler.
 
     Attributes:
-        method: Upper case.
+        method: The method in upper case.
         path: Decoded path.
-        query: Decoded query; the last of equal names counts.
+        query: Decoded query; of equal names the last one is kept.
         environ: The WSGI environment.
         body: The whole body.
     """
@@ -48,7 +48,7 @@
     body: bytes
 
     def header(self, name: str) -> str | None:
-        """Return a header, or ``None``."""
+        """Return the value of a header, or ``None``."""
         key = name.upper().replace("-", "_")
         if key in ("CONTENT_TYPE", "CONTENT_LENGTH"):
             return self.environ.get(key)
@@ -63,26 +63,26 @@
         return [(n.lower().replace("_", "-"), v) for n, v in sorted(pairs)]
 
     def break_connection(self) -> None:
-        """Close the connection at once, so that the answer is lost."""
-        with contextlib.suppress(OSError):  # The other end was faster.
+        """Close the connection at once, so that the response is lost."""
+        with contextlib.suppress(OSError):  # The peer has closed it already.
             self.environ["standin.socket"].shutdown(socket.SHUT_RDWR)
 
 
-class Answer(typing.NamedTuple):
-    """An answer; ``chunks`` goes in place of ``body`` for a stream."""
+class Response(typing.NamedTuple):
+    """A response; a stream has ``chunks`` instead of ``body``."""
 
     status: int = 200
-    headers: Headers = []  # noqa: RUF012 (never changed)
+    headers: Headers = []  # noqa: RUF012 (never mutated)
     body: bytes = b""
     chunks: Iterable[bytes] | None = None
 
 
-Handler = Callable[..., Answer]
+Handler = Callable[..., Response]
 
 
-def json_answer(value: object, status: int = 200) -> Answer:
-    """Return a JSON answer."""
-    return Answer(
+def json_response(value: object, status: int = 200) -> Response:
+    """Return a JSON response."""
+    return Response(
         status=status,
         headers=[("Content-Type", "application/json")],
         body=msgspec.json.encode(value),
@@ -90,13 +90,13 @@
 
 
 class Routes:
-    """Handlers by method and pattern of the path, first match first."""
+    """Handlers by method and path pattern; the first match is used."""
 
     def __init__(self) -> None:
         self._entries: list[tuple[str, re.Pattern[str], Handler]] = []
 
     def route(self, method: str, pattern: str) -> Callable[[Handler], Handler]:
-        """Register a handler; ``"*"`` stands for any method."""
+        """Register a handler; ``"*"`` matches any method."""
 
         def _add(handler: Handler) -> Handler:
             self._entries.append((method, re.compile(pattern), handler))
@@ -121,27 +121,27 @@
         request = _read_request(environ)
         found = self.find(request.method, request.path)
         if found is None:
-            answer = json_answer({"error": "no such path"}, 404)
+            response = json_response({"error": "no such path"}, 404)
         else:
             handler, arguments = found
-            answer = handler(request, **arguments)
-        status = f"{answer.status} {_phrase(answer.status)}"
-        headers = list(answer.headers)
-        if answer.chunks is not None:
+            response = handler(request, **arguments)
+        status = f"{response.status} {_phrase(response.status)}"
+        headers = list(response.headers)
+        if response.chunks is not None:
             start_response(status, headers)
-            return answer.chunks
-        if answer.status not in (204, 304):
-            headers.append(("Content-Length", str(len(answer.body))))
+            return response.chunks
+        if response.status not in (204, 304):
+            headers.append(("Content-Length", str(len(response.body))))
         start_response(status, headers)
-        return [answer.body] if answer.body else []
+        return [response.body] if response.body else []
 
 
 class _Handler(pywsgi.WSGIHandler):
-    """Gives the application its connection, so that it can break it."""
+    """Passes the socket to the application, which may break it."""
 
     def handle(self) -> None:
         # With Nagle's algorithm a small chunk waits for the acknowledgement
-        # of the one before, which the other end delays by up to 40 ms.
+        # of the one before, which the peer delays by up to 40 ms.
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         super().handle()
 
@@ -152,7 +152,7 @@
 
 
 class Server:
-    """A stand-in that listens on loopback."""
+    """An HTTP server on the loopback interface."""
 
     def __init__(self, *, app: Callable, port: int = 0) -> None:
         self._app = app
@@ -165,7 +165,7 @@
         return f"127.0.0.1:{self._port}"
 
     def start(self) -> None:
-        """Listen; with port 0 the system chooses one, kept for restarts."""
+        """Start listening; a port chosen for port 0 is kept for restarts."""
         self._server = pywsgi.WSGIServer(
             ("127.0.0.1", self._port),
             self._app,
@@ -178,7 +178,7 @@
         self._port = self._server.server_port
 
     def stop(self) -> None:
-        """Stop listening and break all connections."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.stop(timeout=0)
             self._server = None
--- a/packages/daisypick_standins/tests/engine/test_batch.py
+++ b/packages/daisypick_standins/tests/engine/test_batch.py
@@ -36,7 +36,7 @@
     assert subject.runs_by_marker == {"m": 3}
 
 
-def test_long_prompt_is_read_before_the_first_token():
+def test_long_prompt_is_prefilled_before_the_first_token():
     subject = _make_batch(prefill_rate=100.0, cold_slowdown=1.0)
     first = _make("x" * 1024 + "[marker=m tokens=3]")
     subject.submit(first, 0.0)
@@ -51,7 +51,7 @@
     assert (second.cached_tokens, second.emitted) == (256, 1)
 
 
-def test_too_much_in_the_cold_start_fails_all():
+def test_overload_in_the_cold_start_fails_all_requests():
     subject = _make_batch(cold_slots=1, restart_seconds=5.0)
     boot_id = subject.warmth.boot_id
     first = _make()
@@ -62,9 +62,9 @@
     assert subject.fall_count == 1
     assert not subject.is_up(4.9)
     assert subject.is_up(5.0)
-    kind = _make_batch(cold_slots=1, cold_failure=engine_settings.ERROR)
-    assert kind.submit(first := _make(), 0.0)
-    assert not kind.submit(_make(), 0.0)
+    tolerant = _make_batch(cold_slots=1, cold_failure=engine_settings.ERROR)
+    assert tolerant.submit(first := _make(), 0.0)
+    assert not tolerant.submit(_make(), 0.0)
     assert first.outcome == ""
 
 
@@ -79,7 +79,7 @@
     assert (first.outcome, second.emitted) == ("cancelled", 1)
 
 
-def test_cache_memory_is_limited_and_events_have_gaps():
+def test_cache_memory_is_limited_and_events_are_lost():
     subject = _make_batch(cache_tokens=128, event_lag=0.0, event_loss=0.5)
     for letter in "abcdefgh":
         subject.cache.use(letter * 512, 0.0)
--- a/packages/daisypick_standins/tests/engine/test_server.py
+++ b/packages/daisypick_standins/tests/engine/test_server.py
@@ -29,7 +29,7 @@
     return http_client.HTTPClient(host, int(port), concurrency=9)
 
 
-def _ask(engine, marker, tokens=8, request_id="r1", **fields):
+def _post_completion(engine, marker, tokens=8, request_id="r1", **fields):
     content = f"Plan a visit [marker={marker} tokens={tokens}]"
     body = {"model": "pine", "messages": [{"content": content}]} | fields
     return _client(engine).post(
@@ -51,8 +51,8 @@
     return content, chunks
 
 
-def test_whole_answer(engine):
-    response = _ask(engine, "m1")
+def test_whole_response(engine):
+    response = _post_completion(engine, "m1")
     body = msgspec.json.decode(response.read())
     content = body["choices"][0]["message"]["content"]
     assert text.check(content, "m1") == ""
@@ -62,24 +62,26 @@
     assert engine.batch.runs_by_marker == {"m1": 1}
 
 
-def test_stream_and_its_resume(engine):
+def test_stream_can_be_resumed_from_an_offset(engine):
     options = {"include_usage": True}
-    response = _ask(engine, "m1", stream=True, stream_options=options)
+    response = _post_completion(
+        engine, "m1", stream=True, stream_options=options
+    )
     data = response.read()
     content, chunks = _read_stream(data)
     assert text.check(content, "m1") == ""
     assert chunks[-1]["usage"]["completion_tokens"] == 8
-    again = _client(engine).get("/v1/streams/r1?from=100").read()
-    assert again == data[100:]
+    resumed = _client(engine).get("/v1/streams/r1?from=100").read()
+    assert resumed == data[100:]
     assert _client(engine).get("/v1/streams/r2").status_code == 404
     assert _client(engine).get("/v1/streams/r1?from=-1").status_code == 416
 
 
-def test_broken_stream_has_no_end_mark(engine):
-    # The engine breaks off in the middle of a stream. The reader sees a
-    # chunked body without its last chunk, never one that looks whole.
+def test_broken_stream_has_no_end_marker(engine):
+    # The engine breaks off in the middle of a stream. The reader must see a
+    # chunked body without its last chunk, not one that looks complete.
     engine.set_faults(engine_faults.Faults(break_off=1))
-    response = _ask(engine, "m1", stream=True)
+    response = _post_completion(engine, "m1", stream=True)
     with pytest.raises(http_response.HTTPParseError):
         response.read()
     stream = _client(engine).get("/v1/streams/r1")
@@ -87,12 +89,12 @@
 
 
 def test_closed_connection_cancels_the_generation(engine):
-    # A caller goes away in the middle of a long answer, streamed or whole:
-    # its slot must come free long before the answer would have ended.
-    response = _ask(engine, "m1", tokens=4096, stream=True)
+    # A caller disconnects in the middle of a long response, streamed or
+    # whole: its slot must be released long before the response would end.
+    response = _post_completion(engine, "m1", tokens=4096, stream=True)
     response.read(200)
     response.release()
-    whole = gevent.spawn(_ask, engine, "m2", tokens=4096)
+    whole = gevent.spawn(_post_completion, engine, "m2", tokens=4096)
     while engine.batch.runs_by_marker["m2"] == 0:
         gevent.sleep(0.001)
     whole.kill()
@@ -101,17 +103,17 @@
     assert engine.batch.cancelled_count == 2
 
 
-def test_crash_on_command_breaks_streams(engine):
-    response = _ask(engine, "m1", tokens=4096, stream=True)
+def test_injected_crash_breaks_streams(engine):
+    response = _post_completion(engine, "m1", tokens=4096, stream=True)
     engine.set_faults(engine_faults.Faults(crash=True))
     with pytest.raises(http_response.HTTPParseError):
         response.read()
-    assert _ask(engine, "m2").status_code == 503
+    assert _post_completion(engine, "m2").status_code == 503
 
 
-def test_crossed_answer_is_noticed(engine):
+def test_answer_to_another_request_is_detected(engine):
     engine.set_faults(engine_faults.Faults(cross=1))
-    body = msgspec.json.decode(_ask(engine, "m1").read())
+    body = msgspec.json.decode(_post_completion(engine, "m1").read())
     content = body["choices"][0]["message"]["content"]
     assert text.check(content, "m1") == "answer to another, not to m1"
 
--- a/packages/daisypick_standins/tests/plain/test_server.py
+++ b/packages/daisypick_standins/tests/plain/test_server.py
@@ -22,7 +22,7 @@
     return client.request(method, path, body, named)
 
 
-def test_what_arrived_is_told(service):
+def test_response_describes_the_request(service):
     response = _call(service, "POST", "/bookings?plot=7", b"x", X_Marker="m1")
     body = msgspec.json.decode(response.read())
     assert (response.status_code, body["method"]) == (201, "POST")
@@ -31,7 +31,7 @@
     assert ["x-marker", "m1"] in body["headers"]
 
 
-def test_binary_body_comes_back(service):
+def test_binary_body_is_echoed(service):
     data = bytes(range(256)) * 300
     response = _call(service, "PATCH", "/engravings", data, X_Echo="body")
     assert response.read() == data
--- a/packages/daisypick_standins/tests/platform/test_server.py
+++ b/packages/daisypick_standins/tests/platform/test_server.py
@@ -14,7 +14,7 @@
     return response.status_code, response.read()
 
 
-def test_faults_and_vms_by_command():
+def test_faults_and_vms_can_be_set_over_http():
     now = [0.0]
     platform = server.Platform(vm_lag=5.0, clock=lambda: now[0])
     platform.start()
