--- a/conftest.py
+++ b/conftest.py
@@ -1,7 +1,7 @@
-"""Passes over the tests in ``KNOWN-RED.txt``, just these, and prints them.
+"""Deselects exactly the tests listed in ``KNOWN-RED.txt`` and prints them.
 
-Each line of the file names a test first, then what was seen and the open
-issue. A test that is passed over stays as it was written.
+Each line of the file starts with the id of a test, followed by the observed
+failure and the open issue. A deselected test is not changed.
 """
 
 import pathlib
@@ -9,37 +9,37 @@
 import pytest
 
 _FILE = pathlib.Path(__file__).parent / "KNOWN-RED.txt"
-_MOST = 3
+_MAX_LINES = 3
 
 
 def read_known_red() -> list[str]:
-    """Return the lines of the file.
+    """Return the non-empty lines of the file.
 
     Raises:
-        UsageError: There are more than three.
+        UsageError: There are more than three lines.
     """
     lines = [line for line in _FILE.read_text().splitlines() if line.strip()]
-    if len(lines) > _MOST:
-        raise pytest.UsageError(f"KNOWN-RED.txt: more than {_MOST} lines")
+    if len(lines) > _MAX_LINES:
+        raise pytest.UsageError(f"KNOWN-RED.txt: more than {_MAX_LINES} lines")
     return lines
 
 
 def pytest_collection_modifyitems(
     config: pytest.Config, items: list[pytest.Item]
 ) -> None:
-    """Pass over the known ones, unless they are asked for by name."""
-    red = {line.split()[0].rstrip(":") for line in read_known_red()}
+    """Deselect the known failures, unless a test is selected by its id."""
+    known_ids = {line.split()[0].rstrip(":") for line in read_known_red()}
     if any("::" in argument for argument in config.args):
         return
-    kept = [item for item in items if item.nodeid not in red]
-    known = [item for item in items if item.nodeid in red]
-    config.hook.pytest_deselected(items=known)
-    items[:] = kept
+    selected = [item for item in items if item.nodeid not in known_ids]
+    deselected = [item for item in items if item.nodeid in known_ids]
+    config.hook.pytest_deselected(items=deselected)
+    items[:] = selected
 
 
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter,
 ) -> None:
-    """Print the known ones."""
+    """Print the known failures."""
     for line in read_known_red():
         terminalreporter.write_line(f"known red: {line}")
--- a/tools/check_comments.py
+++ b/tools/check_comments.py
@@ -1,11 +1,12 @@
-"""Check that comments tell no measurements.
+"""Check that comments report no measurements.
 
-Comments and docstrings say what code guards against or gains. How that was
-measured, and what was tried, stands in commits and ``docs/``, where it can be
-read beside its run and is not taken for true of the code as it is now.
+Comments and docstrings describe what code guards against or improves.
+Measurements and discarded attempts belong in commits and ``docs/``, next to
+the run that they come from, so that they are not taken to describe the
+current code.
 
-Usage: ``python tools/check_comments.py FOLDER...``; exit 1 with a line for
-each offence. Tests may state figures.
+Usage: ``python tools/check_comments.py FOLDER...``; prints a line for each
+offence and exits with 1 if there are any. Tests may state figures.
 """
 
 import ast
@@ -18,7 +19,7 @@
 
 import offences
 
-_STORY = re.compile(
+_MEASUREMENT = re.compile(
     r"\bMeasured:|\b[Mm]easured (as|at|on|with)\b|\b[Mm]ean worth\b"
     r"|\bworth 0\.\d|\b[Ii]n a trial\b"
 )
@@ -31,7 +32,7 @@
 
 
 def find_prose(source: str) -> Iterator[tuple[int, str]]:
-    """Yield the line and the text of each comment and docstring."""
+    """Yield the line number and the text of each comment and docstring."""
     for token in tokenize.generate_tokens(io.StringIO(source).readline):
         if token.type == tokenize.COMMENT:
             yield token.start[0], token.string
@@ -42,17 +43,17 @@
                 yield node.body[0].lineno, text
 
 
-def find_stories(path: pathlib.Path) -> Iterator[str]:
-    """Yield a message for each comment that tells of a measurement."""
+def find_measurements(path: pathlib.Path) -> Iterator[str]:
+    """Yield a message for each comment that reports a measurement."""
     for line, text in find_prose(path.read_text(encoding="utf-8")):
-        found = _STORY.search(text)
+        found = _MEASUREMENT.search(text)
         if found is not None:
-            yield f"{path}:{line}: tells a measurement: {found.group()}"
+            yield f"{path}:{line}: reports a measurement: {found.group()}"
 
 
 def main(folders: list[str]) -> int:
-    """Check every Python file below the folders, tests aside."""
-    return offences.report(folders, find_stories, with_tests=False)
+    """Check every Python file below the folders, except tests."""
+    return offences.report(folders, find_measurements, with_tests=False)
 
 
 if __name__ == "__main__":
--- a/tools/check_imports.py
+++ b/tools/check_imports.py
@@ -4,8 +4,8 @@
 ``from package import module`` and forbids importing classes or functions,
 except from ``typing`` and ``collections.abc``. The linter has no such rule.
 
-Usage: ``python tools/check_imports.py FOLDER...``; exit 1 with a line for
-each offence.
+Usage: ``python tools/check_imports.py FOLDER...``; prints a line for each
+offence and exits with 1 if there are any.
 """
 
 import ast
@@ -20,7 +20,7 @@
 
 
 def _is_module(name: str) -> bool:
-    """Tell whether ``name`` can be imported as a module."""
+    """Return whether ``name`` can be imported as a module."""
     try:
         return importlib.util.find_spec(name) is not None
     except (ImportError, AttributeError, ValueError):
@@ -28,7 +28,7 @@
 
 
 def find_name_imports(path: pathlib.Path) -> Iterator[str]:
-    """Yield a message for each imported name of a file that is no module."""
+    """Yield a message for each imported name that is not a module."""
     tree = ast.parse(path.read_text(encoding="utf-8"))
     for node in ast.walk(tree):
         if not isinstance(node, ast.ImportFrom) or node.level:
--- a/tools/offences.py
+++ b/tools/offences.py
@@ -1,4 +1,4 @@
-"""Run a check over the Python files of folders and print what it finds."""
+"""Runs a check over the Python files of folders and prints the offences."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -17,7 +17,7 @@
     Args:
         folders: Folders whose Python files are checked.
         find: Yields a message for each offence of a file.
-        with_tests: Whether files in folders of tests are checked too.
+        with_tests: Whether files in test folders are checked too.
     """
     offences = [
         offence
--- a/tools/tests/test_check_comments.py
+++ b/tools/tests/test_check_comments.py
@@ -1,4 +1,4 @@
-"""Comments that tell a measurement are found; others are not."""
+"""Comments that report a measurement are found; others are not."""
 
 import check_comments
 import pytest
@@ -16,7 +16,7 @@
 def test_measurement_in_a_comment_is_found(tmp_path, source):
     path = tmp_path / "code.py"
     path.write_text(source)
-    assert len(list(check_comments.find_stories(path))) == 1
+    assert len(list(check_comments.find_measurements(path))) == 1
 
 
 @pytest.mark.parametrize(
@@ -30,4 +30,4 @@
 def test_other_comments_pass(tmp_path, source):
     path = tmp_path / "code.py"
     path.write_text(source)
-    assert list(check_comments.find_stories(path)) == []
+    assert list(check_comments.find_measurements(path)) == []
--- a/tools/write_configuration_page.py
+++ b/tools/write_configuration_page.py
@@ -1,6 +1,6 @@
 """Write docs/CONFIGURATION.md from the types of the configuration.
 
-The page is generated, so that it cannot differ from what ``daisypick check``
+The page is generated so that it always matches what ``daisypick check``
 accepts.
 
 Usage: ``python tools/write_configuration_page.py [--check]``; with
@@ -47,7 +47,7 @@
 
 
 def read_descriptions(entry_type: type) -> dict[str, str]:
-    """Return the descriptions of attributes in a class's docstring.
+    """Return the descriptions of attributes from a class's docstring.
 
     Examples:
         >>> read_descriptions(model.Call)["path"]
@@ -98,7 +98,7 @@
 
 
 def _type_name(value_type: typing.Any) -> str:
-    """Return the name of a type in TOML's words.
+    """Return the name of a type in the terms of TOML.
 
     Examples:
         >>> _type_name(tuple[str, ...]), _type_name(float)
@@ -117,14 +117,14 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Write the page, or check it."""
+    """Write the page, or check that it is up to date."""
     page = make_page()
     if "--check" not in arguments:
         PAGE.write_text(page, encoding="utf-8")
         return 0
     if PAGE.exists() and PAGE.read_text(encoding="utf-8") == page:
         return 0
-    print("docs/CONFIGURATION.md is stale, run `make docs`")
+    print("docs/CONFIGURATION.md is stale; run `make docs`")
     return 1
 
 
--- a/tools/write_reference_pages.py
+++ b/tools/write_reference_pages.py
@@ -1,6 +1,6 @@
 """Write docs/RESULT_CODES.md and docs/SETTINGS.md from the code.
 
-Both are generated, so that they cannot differ from what the processes do.
+Both are generated so that they always match the code.
 
 Usage: ``python tools/write_reference_pages.py [--check]``; with ``--check``
 nothing is written and the exit code is 1 if a page is stale.
@@ -52,7 +52,7 @@
 
 
 def make_codes_page() -> str:
-    """Return the table of all result codes, grouped by thousands."""
+    """Return the page of all result codes, grouped by thousands."""
     lines = [_CODES_HEAD]
     for group, title in _GROUPS.items():
         lines.append(f"## {group}xxx: {title}\n")
@@ -68,7 +68,7 @@
 
 
 def make_settings_page() -> str:
-    """Return the tables of the settings of both kinds of process."""
+    """Return the page of the settings of both kinds of process."""
     common = settings.ProcessSettings.model_fields
     lines = [_SETTINGS_HEAD, "## Both kinds of process\n"]
     lines += _setting_lines(common)
@@ -102,7 +102,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Write the pages, or check them."""
+    """Write the pages, or check that they are up to date."""
     pages = {
         "RESULT_CODES.md": make_codes_page(),
         "SETTINGS.md": make_settings_page(),
@@ -113,7 +113,7 @@
         if "--check" not in arguments:
             path.write_text(text, encoding="utf-8")
         elif not path.exists() or path.read_text(encoding="utf-8") != text:
-            print(f"docs/{name} is stale, run `make docs`")
+            print(f"docs/{name} is stale; run `make docs`")
             stale = 1
     return stale
 
