--- a/packages/daisypick_cli/src/daisypick_cli/applying.py
+++ b/packages/daisypick_cli/src/daisypick_cli/applying.py
@@ -98,7 +98,7 @@
         A concurrent write is no conflict here, unless it changes the state
         of the same data centre: the change is retried on top of it.
         """
-        seen: bool | None = None
+        seen_state: bool | None = None
         outcome: Outcome = failure_value.Failure(
             code=codes.CONFIGURATION_CONFLICT,
             reason="concurrent writes won every attempt",
@@ -113,9 +113,9 @@
                     code=codes.DANGLING_NAME,
                     reason=f"the store has no data centre {name!r}",
                 )
-            if seen not in (None, entry.is_in):
+            if seen_state not in (None, entry.is_in):
                 return outcome
-            seen = entry.is_in
+            seen_state = entry.is_in
             wanted = _with_data_centre(
                 stored.configuration, entry._replace(is_in=is_in)
             )
--- a/packages/daisypick_cli/src/daisypick_cli/commands/base.py
+++ b/packages/daisypick_cli/src/daisypick_cli/commands/base.py
@@ -167,7 +167,7 @@
             )
         budget = call_budget.CallBudget(rate=_CALLS_PER_SECOND, burst=_BURST)
         try:
-            patience = float(
+            retry_timeout = float(
                 self.setting("wait", str(publication.RETRY_TIMEOUT_SECONDS))
             )
             client = factory(address=address, budget=budget)
@@ -178,7 +178,7 @@
             clock=time.monotonic,
             sleep=gevent.sleep,
             rng=random.Random(),
-            patience=patience,
+            retry_timeout=retry_timeout,
         )
 
     def make_applier(self) -> applying.Applier | failure_value.Failure:
--- a/packages/daisypick_cli/src/daisypick_cli/commands/inspection.py
+++ b/packages/daisypick_cli/src/daisypick_cli/commands/inspection.py
@@ -33,7 +33,7 @@
 class _FleetCommand(base.OperatorCommand):
     """A command that queries many processes."""
 
-    def find_fleet(self) -> status.FleetDumps | failure_value.Failure:
+    def fetch_dumps(self) -> status.FleetDumps | failure_value.Failure:
         """Return the dumps of agents and routers."""
         processes = self.make_processes()
         if failure_value.is_failure(processes):
@@ -72,10 +72,10 @@
 
     def handle(self) -> int:
         """Query the fleet and print the summary."""
-        found = self.find_fleet()
-        if failure_value.is_failure(found):
-            return self.report_failure(found)
-        summary = status.summarise(found)
+        fleet_dumps = self.fetch_dumps()
+        if failure_value.is_failure(fleet_dumps):
+            return self.report_failure(fleet_dumps)
+        summary = status.summarise(fleet_dumps)
         self.print_output(summary, status.format_lines(summary))
         return exit_codes.OK
 
@@ -142,10 +142,10 @@
             return self.report_failure(processes)
         addresses = [self.option("at")] if self.option("at") else None
         if addresses is None:
-            found = self.find_fleet()
-            if failure_value.is_failure(found):
-                return self.report_failure(found)
-            addresses = list(found.dump_by_address)
+            fleet_dumps = self.fetch_dumps()
+            if failure_value.is_failure(fleet_dumps):
+                return self.report_failure(fleet_dumps)
+            addresses = list(fleet_dumps.dump_by_address)
         outcomes = processes.call_each(
             lambda address: _call(
                 lambda one: processes.explain(one, request_id), address
@@ -193,7 +193,7 @@
     call: typing.Callable[[str], fleet.Json | failure_value.Failure],
     address: str,
 ) -> fleet.Json | failure_value.Failure:
-    """Call a process; return a failure if its address is malformed."""
+    """Call a process; an address that a user mistyped is a failure."""
     try:
         return call(address)
     except ValueError as error:
--- a/packages/daisypick_cli/src/daisypick_cli/commands/logs.py
+++ b/packages/daisypick_cli/src/daisypick_cli/commands/logs.py
@@ -46,10 +46,12 @@
                     )
                 )
             lines.extend(text.splitlines())
-        found = fair_windows.find_least_served(fairness_log.read_seconds(lines))
+        least_served = fair_windows.find_least_served(
+            fairness_log.read_seconds(lines)
+        )
         self.print_output(
-            [served._asdict() for served in found[:_MAX_ROWS]],
-            [_format_row(served) for served in found[:_MAX_ROWS]]
+            [served._asdict() for served in least_served[:_MAX_ROWS]],
+            [_format_row(served) for served in least_served[:_MAX_ROWS]]
             or ["No organisation was starved throughout six seconds."],
         )
         return exit_codes.OK
--- a/packages/daisypick_cli/src/daisypick_cli/main.py
+++ b/packages/daisypick_cli/src/daisypick_cli/main.py
@@ -2,7 +2,7 @@
 
 Other packages add commands through an entry point of the group
 ``daisypick.commands``. It names a module with ``COMMANDS``, a list of cleo
-command classes.
+command classes. A package that is not installed adds none.
 """
 
 from collections.abc import Iterator
--- a/packages/daisypick_cli/src/daisypick_cli/processes.py
+++ b/packages/daisypick_cli/src/daisypick_cli/processes.py
@@ -103,5 +103,7 @@
         >>> highest_generation({"10.0.0.1:80": 3, "10.0.0.2:80": None})
         3
     """
-    known = [one for one in generation_by_address.values() if type(one) is int]
+    known = [
+        value for value in generation_by_address.values() if type(value) is int
+    ]
     return max(known, default=0)
--- a/packages/daisypick_cli/src/daisypick_cli/publication.py
+++ b/packages/daisypick_cli/src/daisypick_cli/publication.py
@@ -88,13 +88,13 @@
         clock: Callable[[], float],
         sleep: Callable[[float], None],
         rng: random.Random,
-        patience: float = RETRY_TIMEOUT_SECONDS,
+        retry_timeout: float = RETRY_TIMEOUT_SECONDS,
     ) -> None:
         self.client = client
         self._clock = clock
         self._sleep = sleep
         self._rng = rng
-        self._retry_timeout = patience
+        self._retry_timeout = retry_timeout
 
     def read(
         self,
@@ -140,17 +140,17 @@
         change_id = f"{self._rng.getrandbits(64):016x}"
         old_packs = base.root.packs if base.root else ()
         recent = base.root.recent if base.root else ()
-        fresh = {
+        new_chunks = {
             chunk_hash: chunk
             for chunk_hash, chunk in tree.chunk_by_hash.items()
             if chunk_hash not in base.chunk_by_hash
         }
-        packed = fresh
+        chunks_to_pack = new_chunks
         if len(old_packs) >= MAX_PACKS:
-            old_packs, packed = (), tree.chunk_by_hash
+            old_packs, chunks_to_pack = (), tree.chunk_by_hash
         pack_by_name = {
             configuration_store.pack_name(generation, change_id, part): pack
-            for part, pack in enumerate(_make_packs(packed))
+            for part, pack in enumerate(_make_packs(chunks_to_pack))
         }
         root = root_object.make_root(
             generation=generation,
@@ -308,9 +308,9 @@
 ) -> dict[str, bytes]:
     if base.root is None:
         return tree.chunk_by_hash
-    held = base.chunk_by_hash | tree.chunk_by_hash
-    changed = chunks.changed_chunks(base.root.top, tree.top, held)
-    return {chunk_hash: held[chunk_hash] for chunk_hash in changed}
+    all_chunks = base.chunk_by_hash | tree.chunk_by_hash
+    changed = chunks.changed_chunks(base.root.top, tree.top, all_chunks)
+    return {chunk_hash: all_chunks[chunk_hash] for chunk_hash in changed}
 
 
 def _make_packs(chunk_by_hash: Mapping[str, bytes]) -> Iterator[bytes]:
--- a/packages/daisypick_cli/src/daisypick_cli/status.py
+++ b/packages/daisypick_cli/src/daisypick_cli/status.py
@@ -79,20 +79,20 @@
     return FleetDumps(configuration=configuration, dump_by_address=dumps)
 
 
-def summarise(found: FleetDumps) -> Status:
+def summarise(fleet_dumps: FleetDumps) -> Status:
     """Return the summary of the fleet."""
     dumps = {
         address: dump
-        for address, dump in found.dump_by_address.items()
+        for address, dump in fleet_dumps.dump_by_address.items()
         if not failure_value.is_failure(dump)
     }
-    configuration = found.configuration
+    configuration = fleet_dumps.configuration
     return Status(
         generation=configuration.generation,
         organisations=len(configuration.organisations_by_name),
         services=len(configuration.services_by_name),
         data_centres=[
-            _summarise_data_centre(entry, found, dumps)
+            _summarise_data_centre(entry, fleet_dumps, dumps)
             for entry in configuration.data_centres_by_name.values()
         ],
         routers=[
@@ -106,28 +106,30 @@
             for address, dump in dumps.items()
             if dump.get("kind") == "router"
         ],
-        unreachable=sorted(found.dump_by_address.keys() - dumps.keys()),
+        unreachable=sorted(fleet_dumps.dump_by_address.keys() - dumps.keys()),
     )
 
 
 def _summarise_data_centre(
-    entry: model.DataCentre, found: FleetDumps, dumps: dict[str, typing.Any]
+    entry: model.DataCentre,
+    fleet_dumps: FleetDumps,
+    dumps: dict[str, typing.Any],
 ) -> DataCentreStatus:
     agents = {
         server.agent
-        for server in found.configuration.backend_servers_by_name.values()
+        for server in fleet_dumps.configuration.backend_servers_by_name.values()
         if server.data_centre == entry.name
     }
-    answers = [dumps[agent] for agent in agents if agent in dumps]
-    loads = [answer.get("load", {}) for answer in answers]
-    generation = found.configuration.generation
+    agent_dumps = [dumps[agent] for agent in agents if agent in dumps]
+    loads = [dump.get("load", {}) for dump in agent_dumps]
+    generation = fleet_dumps.configuration.generation
     return DataCentreStatus(
         name=entry.name,
         is_in=entry.is_in,
         agents=len(agents),
-        answered=len(answers),
+        answered=len(agent_dumps),
         draining=sum(bool(load.get("is_draining")) for load in loads),
-        behind=sum(one["generation"] < generation for one in answers),
+        behind=sum(dump["generation"] < generation for dump in agent_dumps),
         running=sum(load.get("running", 0) for load in loads),
         limit=sum(load.get("limit", 0) for load in loads),
         waiting=sum(load.get("waiting", 0) for load in loads),
--- a/packages/daisypick_standins/src/daisypick_standins/platform/store.py
+++ b/packages/daisypick_standins/src/daisypick_standins/platform/store.py
@@ -1,4 +1,4 @@
-"""An in-memory store of versioned objects with conditional updates.
+"""Versioned objects in memory, with conditional updates and listeners.
 
 Examples:
     >>> store = ObjectStore()
