--- a/packages/daisypick_router/src/daisypick_router/idle_connections.py
+++ b/packages/daisypick_router/src/daisypick_router/idle_connections.py
@@ -1,24 +1,26 @@
-"""Callers' connections in the order in which they became idle.
+"""Callers' idle connections in least recently used order.
 
 Callers that open a connection for each request leave them idle until the idle
-timeout; at 500 a second that is more than a VM's descriptors, and then nobody
-could connect any more. The longest idle ones are closed instead.
+timeout. At 500 requests a second these exceed the file descriptors of a VM,
+and new callers could not connect. The connections that have been idle longest
+are closed first.
 
-An overloaded VM accepts hundreds of connections a second while requests lie
-unread on most others. So what a look costs does not depend on how many
-connections there are.
+An overloaded VM accepts hundreds of connections a second while most others
+hold unread requests. The cost of one call is therefore bounded, regardless of
+the number of connections.
 """
 
 import collections
 
 from daisypick_http import server as http_server
 
-# Connections that are looked at for each new one.
-_MOST_LOOKED_AT = 16
+# Connections examined per call of ``close_oldest``, that is per new connection
+# above the limit.
+_MAX_EXAMINED = 16
 
 
 class IdleConnections:
-    """Idle connections, the one that has been idle for longest first."""
+    """Idle connections, ordered from the longest idle."""
 
     def __init__(self) -> None:
         self._connections: collections.OrderedDict[
@@ -31,18 +33,19 @@
     def note(
         self, connection: http_server.CallerConnection, idle: bool
     ) -> None:
-        """Take that a connection became idle, or is idle no longer."""
+        """Record that a connection became idle, or is no longer idle."""
         self._connections.pop(connection, None)
         if idle:
             self._connections[connection] = None
 
     def close_oldest(self) -> list[http_server.CallerConnection]:
-        """Close some that are idle for longest; return which.
+        """Close some of the longest idle connections and return them.
 
-        One on which a request has begun to come stays, and comes last.
+        A connection on which a request has begun to arrive stays open and
+        moves to the end of the order.
         """
         closed = []
-        for _ in range(min(_MOST_LOOKED_AT, len(self._connections))):
+        for _ in range(min(_MAX_EXAMINED, len(self._connections))):
             connection, _ = self._connections.popitem(last=False)
             connection.close_idle()
             if connection.closing:
--- a/packages/daisypick_router/src/daisypick_router/intake.py
+++ b/packages/daisypick_router/src/daisypick_router/intake.py
@@ -1,11 +1,12 @@
-"""Lets callers' requests begin a few at a time, the organisations in turn.
-
-Whatever is ready to run waits in one queue of the loop: new requests, and
-the words of hosts and engines for which older ones wait. Under a flood
-hundreds of new requests stand before each such word, a request passes that
-queue some four times, and first events come seconds late for every caller of
-the VM. Here new requests wait apart, so that the queue stays short; and a
-flood waits for itself, since organisations begin in turn.
+"""Starts new requests in small batches, round-robin over API keys.
+
+The event loop has one run queue, shared by new requests and by messages of
+scheduler hosts and engines that running requests wait for. In a load spike,
+hundreds of new requests would be queued ahead of each such message. A request
+passes the run queue about four times, so first events would be seconds late
+for every caller of the VM. New requests are therefore queued here, which keeps
+the run queue short. Round-robin order makes a load spike of one organisation
+delay only its own requests.
 """
 
 import collections
@@ -18,75 +19,84 @@
 from daisypick_http import messages
 from daisypick_platform import request_headers
 
-# Requests that begin before everything else that is ready has its turn; what
-# they do at once takes some milliseconds on a small VM.
-_MOST_AT_ONCE = 8
+# Requests started before the loop runs everything else that is ready. Their
+# first steps take a few milliseconds on a small VM.
+_MAX_STARTS_PER_TURN = 8
 
 
-class _Waiting(typing.NamedTuple):
-    """A request that has not begun.
+class _QueuedRequest(typing.NamedTuple):
+    """A request that has not been started.
 
     Attributes:
         handler: Greenlet to start.
-        since: When it came.
+        queued_at: When the request was queued.
     """
 
     handler: gevent.Greenlet
-    since: float
+    queued_at: float
 
 
 class Intake:
-    """Requests that were read and have not begun, by their callers' keys."""
+    """Queues requests that were read but not started, by API key."""
 
     def __init__(self) -> None:
-        # In the order of their turns.
-        self._waiting_by_key: collections.OrderedDict[
-            bytes, collections.deque[_Waiting]
+        # In round-robin order.
+        self._queue_by_key: collections.OrderedDict[
+            bytes, collections.deque[_QueuedRequest]
         ] = collections.OrderedDict()
-        self._begun = 0
-        self._has_begun = event.Event()
+        self._started_count = 0
+        self._has_started = event.Event()
 
     def start(self) -> None:
-        """Begin to let requests begin."""
+        """Start the greenlet that starts queued requests."""
         gevent.spawn(self._run)
 
     def add(self, handler: gevent.Greenlet, request: messages.Request) -> None:
-        """Start a request's handler when it is its turn."""
-        if not self._waiting_by_key and self._begun < _MOST_AT_ONCE:
-            self._begin(handler)
+        """Start a request's handler now, or queue it."""
+        if (
+            not self._queue_by_key
+            and self._started_count < _MAX_STARTS_PER_TURN
+        ):
+            self._start_handler(handler)
             return
-        key = request_headers.find_key(request.headers)
-        waiting = self._waiting_by_key.setdefault(key, collections.deque())
-        waiting.append(_Waiting(handler=handler, since=time.monotonic()))
+        api_key = request_headers.find_key(request.headers)
+        queue = self._queue_by_key.setdefault(api_key, collections.deque())
+        queue.append(
+            _QueuedRequest(handler=handler, queued_at=time.monotonic())
+        )
 
     def find_wait(self, now: float) -> float:
-        """Return for how many seconds the longest waiting one has waited."""
+        """Return the age of the oldest queued request in seconds."""
         oldest = min(
-            (waiting[0].since for waiting in self._waiting_by_key.values()),
+            (queue[0].queued_at for queue in self._queue_by_key.values()),
             default=now,
         )
         return now - oldest
 
-    def _begin(self, handler: gevent.Greenlet) -> None:
-        self._begun += 1
+    def _start_handler(self, handler: gevent.Greenlet) -> None:
+        self._started_count += 1
         handler.start()
-        self._has_begun.set()
+        self._has_started.set()
 
     def _run(self) -> None:
         while True:
-            self._has_begun.wait()
-            self._has_begun.clear()
-            # All that is ready goes first, what has just begun among it.
+            self._has_started.wait()
+            self._has_started.clear()
+            # Let everything that is ready run first, including the requests
+            # started just now.
             gevent.sleep(0)
-            self._begun = 0
-            while self._waiting_by_key and self._begun < _MOST_AT_ONCE:
-                self._begin_next()
-
-    def _begin_next(self) -> None:
-        key, waiting = self._waiting_by_key.popitem(last=False)
-        handler = waiting.popleft().handler
-        if waiting:
-            self._waiting_by_key[key] = waiting
-        # One whose caller has left was ended before it began.
+            self._started_count = 0
+            while (
+                self._queue_by_key
+                and self._started_count < _MAX_STARTS_PER_TURN
+            ):
+                self._start_next()
+
+    def _start_next(self) -> None:
+        api_key, queue = self._queue_by_key.popitem(last=False)
+        handler = queue.popleft().handler
+        if queue:
+            self._queue_by_key[api_key] = queue
+        # The handler was killed if its caller disconnected meanwhile.
         if not handler.dead:
-            self._begin(handler)
+            self._start_handler(handler)
--- a/packages/daisypick_router/tests/test_intake.py
+++ b/packages/daisypick_router/tests/test_intake.py
@@ -1,4 +1,4 @@
-"""Requests begin a few at a time, the organisations in turn."""
+"""Requests are started in small batches, round-robin over API keys."""
 
 import time
 
@@ -8,8 +8,8 @@
 from daisypick_http import messages
 from daisypick_router import intake as intakes
 
-# As many as begin before the rest of what is ready has its turn.
-AT_ONCE = 8
+# Requests started before the loop runs everything else that is ready.
+STARTS_PER_TURN = 8
 
 
 @pytest.fixture
@@ -20,10 +20,10 @@
     return found
 
 
-def _add(intake, key, count, begun):
+def _add(intake, key, count, started):
     handlers = []
     for number in range(count):
-        handler = gevent.Greenlet(begun.append, f"{key}-{number}")
+        handler = gevent.Greenlet(started.append, f"{key}-{number}")
         request = messages.Request(
             method=b"POST",
             target=b"/",
@@ -37,59 +37,59 @@
     return handlers
 
 
-def test_request_of_a_calm_router_begins_at_once(intake):
-    begun = []
-    _add(intake, "farm", 1, begun)
+def test_request_starts_at_once_on_an_idle_router(intake):
+    started = []
+    _add(intake, "farm", 1, started)
     gevent.sleep(0)
-    assert begun == ["farm-0"]
+    assert started == ["farm-0"]
     assert intake.find_wait(time.monotonic()) == 0.0
 
 
-def test_flood_waits_for_itself(intake):
-    """Guards against a flood that takes a VM's processor from others (FAIR).
+def test_load_spike_of_one_organisation_delays_only_itself(intake):
+    """Guards against a load spike that starves others on the VM (FAIR).
 
-    wupu871 shared a VM of 0.387 cores with a flood of 500 requests a second,
-    waited for each of its requests behind some hundred others, and got 355
-    thousand tokens of 1,014 thousand that it asked for, while the fleet began
-    whatever of it reached the host.
+    An organisation that shares a VM of 0.387 cores with a load spike of 500
+    requests a second waited behind some hundred others with each of its
+    requests. Only 355 thousand of the 1,014 thousand tokens that it asked for
+    were started, although the host started whatever reached it.
     """
-    begun = []
-    _add(intake, "flood", 100, begun)
-    _add(intake, "farm", 3, begun)
-    gevent.joinall(_add(intake, "mill", 1, begun))
-    assert begun.index("farm-0") < AT_ONCE * 3
-    assert begun.index("mill-0") < AT_ONCE * 3
+    started = []
+    _add(intake, "flood", 100, started)
+    _add(intake, "farm", 3, started)
+    gevent.joinall(_add(intake, "mill", 1, started))
+    assert started.index("farm-0") < STARTS_PER_TURN * 3
+    assert started.index("mill-0") < STARTS_PER_TURN * 3
     until = time.monotonic() + 1.0
-    while len(begun) < 104 and time.monotonic() < until:
+    while len(started) < 104 and time.monotonic() < until:
         gevent.sleep(0)
-    assert [one for one in begun if one.startswith("flood")] == [
+    assert [one for one in started if one.startswith("flood")] == [
         f"flood-{number}" for number in range(100)
     ]
 
 
-def test_what_is_ready_goes_before_new_requests(intake):
-    """Guards against words of hosts and engines that lie behind a flood.
+def test_ready_greenlets_run_before_queued_requests(intake):
+    """Guards against messages of hosts and engines queued behind a spike.
 
-    On a VM whose loop was late by 0.2 to 1.2 s, each answer of the host and
-    each first event waited behind all requests that had come before it.
+    On a VM whose loop lagged by 0.2 to 1.2 s, each response of the host and
+    each first event waited behind all requests that had arrived before it.
     """
-    begun = []
-    _add(intake, "flood", 100, begun)
-    woken = gevent.spawn(lambda: len(begun))
-    woken.join()
-    assert woken.value <= AT_ONCE
+    started = []
+    _add(intake, "flood", 100, started)
+    ready = gevent.spawn(lambda: len(started))
+    ready.join()
+    assert ready.value <= STARTS_PER_TURN
 
 
-def test_request_whose_caller_left_does_not_begin(intake):
-    begun = []
-    *_, last = _add(intake, "flood", AT_ONCE + 1, begun)
+def test_request_whose_caller_disconnected_is_not_started(intake):
+    started = []
+    *_, last = _add(intake, "flood", STARTS_PER_TURN + 1, started)
     last.kill(block=False)
-    other = _add(intake, "flood", 1, begun)
+    other = _add(intake, "flood", 1, started)
     gevent.joinall(other)
-    assert f"flood-{AT_ONCE}" not in begun
-    assert begun[-1] == "flood-0"
+    assert f"flood-{STARTS_PER_TURN}" not in started
+    assert started[-1] == "flood-0"
 
 
-def test_longest_wait_is_told(intake):
-    _add(intake, "flood", AT_ONCE + 1, [])
+def test_age_of_the_oldest_queued_request_is_reported(intake):
+    _add(intake, "flood", STARTS_PER_TURN + 1, [])
     assert 0.9 < intake.find_wait(time.monotonic() + 1.0) < 1.1
