--- a/packages/daisypick_router/src/daisypick_router/context.py
+++ b/packages/daisypick_router/src/daisypick_router/context.py
@@ -1,4 +1,4 @@
-"""What is known of one request while it is served."""
+"""State of one request while it is handled."""
 
 from daisypick_core.serving import fleet_configuration
 from daisypick_core.serving import route_table
@@ -10,25 +10,28 @@
     """One request of a caller.
 
     Attributes:
-        request: As it came.
-        words: What its headers say.
-        route: The route it takes.
-        organisation: Whose it is, ``None`` on public routes.
-        service: Where it goes.
-        version: Version of the configuration that it is served under.
-        deadline: When the caller or the route gives up.
-        objective_at: When the first byte of the answer should be out.
-        tried: Backend servers that it was sent to, or tried to.
-        arrivals: How many of them it reached.
+        request: The request as received.
+        caller_headers: Parsed headers of the request.
+        route: Route that matched the request.
+        organisation: Organisation that owns its API key; ``None`` on public
+            routes.
+        service: Service that the route selected.
+        version: Version of the configuration used for this request.
+        deadline: When the timeout of the caller or of the route expires.
+        objective_at: When the first byte of the response is due by the
+            route's latency target.
+        tried_servers: Names of the backend servers selected so far, also
+            those that could not be reached.
+        servers_reached: Number of backend servers that received the request.
         may_have_run: Whether one of them may have run it.
         attempt: Id of the caller's attempt.
-        first_event_at: When the first event of a stream came.
-        is_sent: Whether it was sent to a backend server.
+        first_event_at: When the first event of a stream was received.
+        is_sent: Whether sending to a backend server has started.
     """
 
     __slots__ = (
-        "arrivals",
         "attempt",
+        "caller_headers",
         "deadline",
         "first_event_at",
         "is_sent",
@@ -37,48 +40,48 @@
         "organisation",
         "request",
         "route",
+        "servers_reached",
         "service",
-        "tried",
+        "tried_servers",
         "version",
-        "words",
     )
 
     def __init__(
         self,
         *,
         request: messages.Request,
-        words: request_headers.CallerWords,
+        caller_headers: request_headers.CallerWords,
         route: route_table.Route,
         organisation: str | None,
         service: fleet_configuration.Service,
         version: int,
     ) -> None:
         self.request = request
-        self.words = words
+        self.caller_headers = caller_headers
         self.route = route
         self.organisation = organisation
         self.service = service
         self.version = version
-        self.attempt = words.attempt
+        self.attempt = caller_headers.attempt
         self.objective_at = request.began_at + route.objective
-        patience = route.timeout
-        if words.patience is not None:
-            patience = min(patience, words.patience)
-        self.deadline = request.began_at + patience
-        self.tried: set[str] = set()
-        self.arrivals = 0
+        timeout = route.timeout
+        if caller_headers.patience is not None:
+            timeout = min(timeout, caller_headers.patience)
+        self.deadline = request.began_at + timeout
+        self.tried_servers: set[str] = set()
+        self.servers_reached = 0
         self.may_have_run = False
         self.first_event_at: float | None = None
         self.is_sent = False
 
     @property
     def stage(self) -> str:
-        """How far it came: ``waiting``, ``sent`` or ``streaming``."""
+        """Progress of the request: ``waiting``, ``sent`` or ``streaming``."""
         if self.first_event_at is not None:
             return "streaming"
         return "sent" if self.is_sent else "waiting"
 
     @property
     def may_run_again(self) -> bool:
-        """Whether a second run, or one that goes on, does no harm."""
+        """Whether it is safe to run the request again or to resume it."""
         return self.route.may_run_again or self.route.resumable
--- a/packages/daisypick_router/src/daisypick_router/engine_servers.py
+++ b/packages/daisypick_router/src/daisypick_router/engine_servers.py
@@ -1,6 +1,6 @@
-"""Driver of the schedulers of model services, within one process.
+"""Runs the schedulers of model services within one process.
 
-Requests wait here as greenlets; the scheduler's actions wake them.
+Requests wait here as greenlets; the schedulers' actions wake them.
 """
 
 from collections.abc import Callable
@@ -23,14 +23,14 @@
 from daisypick_core.serving import fleet_configuration
 from daisypick_router import discovery as discoveries
 
-# How often waiting requests are looked at; a fifteenth of the shortest
-# objective.
+# Interval in seconds at which waiting requests are re-evaluated; a fifteenth of
+# the shortest latency target.
 _TICK_SECONDS = 0.01
 _EXPIRE_SECONDS = 1.0
 
 
 class EngineServers:
-    """Schedulers by service, and who waits for them."""
+    """Schedulers by service, and the callbacks of waiting requests."""
 
     def __init__(
         self,
@@ -48,27 +48,27 @@
         self._share = 1.0
         self._has_waiting = event.Event()
         self._scheduler_by_service: dict[str, schedulers.Scheduler] = {}
-        self._deliver_by_key: dict[str, Callable[[actions.Action], None]] = {}
+        self._callback_by_key: dict[str, Callable[[actions.Action], None]] = {}
 
     def start(self) -> None:
-        """Begin to look at waiting requests."""
+        """Start the periodic evaluation of waiting requests."""
         gevent.spawn(self._tick)
         gevent.spawn(self._expire)
 
     def set_fleet(self, *, routers: frozenset[str], share: float) -> None:
-        """Take the routers and the part of the capacity to use."""
+        """Set the routers and the share of the capacity to use."""
         self._routers = routers
         self._share = share
         for scheduler in self._scheduler_by_service.values():
             scheduler.set_fleet(routers=routers, share=share)
 
     def update_servers(self, names: Collection[str] | None = None) -> None:
-        """Take servers from the directory.
+        """Update the schedulers' servers from the directory.
 
         Args:
-            names: Those that changed; ``None`` for all. A fleet announces
-                thousands of servers when it starts; taking all for each of
-                them kept every router busy with nothing else.
+            names: Servers that changed; ``None`` for all. A starting fleet
+                announces thousands of servers; updating all of them for each
+                announcement would keep every router fully busy.
         """
         configuration = self._discovery.configuration
         if configuration is None:
@@ -82,12 +82,12 @@
                 * self._share
             )
             if names is None:
-                self._take_all(service, scheduler)
+                self._set_all_servers(service, scheduler)
             else:
-                self._take_some(service, scheduler, names)
+                self._update_some_servers(service, scheduler, names)
             self._apply(scheduler.dispatch(time.monotonic()))
 
-    def _take_all(
+    def _set_all_servers(
         self,
         service: fleet_configuration.Service,
         scheduler: schedulers.Scheduler,
@@ -97,7 +97,7 @@
             for server in self._discovery.directory.find_ready(service.name)
         )
 
-    def _take_some(
+    def _update_some_servers(
         self,
         service: fleet_configuration.Service,
         scheduler: schedulers.Scheduler,
@@ -133,7 +133,7 @@
     def find_scheduler(
         self, service: fleet_configuration.Service
     ) -> schedulers.Scheduler:
-        """Return the scheduler of a service."""
+        """Return the scheduler of a service, created on first use."""
         scheduler = self._scheduler_by_service.get(service.name)
         if scheduler is None:
             scheduler = schedulers.Scheduler(
@@ -153,13 +153,13 @@
     def acquire(
         self, service: fleet_configuration.Service, work: job.Job
     ) -> actions.Action:
-        """Wait until a request may start, or is refused."""
+        """Wait until a request may start or is refused."""
         result = event.AsyncResult()
         self.submit(service, work, result.set)
         try:
             return result.get()
         except gevent.GreenletExit:
-            self._deliver_by_key.pop(work.key, None)
+            self._callback_by_key.pop(work.key, None)
             self.withdraw(service, work.key)
             raise
 
@@ -167,25 +167,28 @@
         self,
         service: fleet_configuration.Service,
         work: job.Job,
-        deliver: Callable[[actions.Action], None],
+        on_decision: Callable[[actions.Action], None],
     ) -> None:
-        """Take a request; ``deliver`` is called with what becomes of it."""
-        self._deliver_by_key[work.key] = deliver
+        """Queue a request; ``on_decision`` is called with the decision."""
+        self._callback_by_key[work.key] = on_decision
         scheduler = self.find_scheduler(service)
         self._apply(scheduler.submit(work, time.monotonic()))
         if scheduler.waiting:
             self._has_waiting.set()
 
     def withdraw(self, service: fleet_configuration.Service, key: str) -> None:
-        """A waiting or running request's caller left."""
-        self._deliver_by_key.pop(key, None)
+        """Remove a waiting or running request whose caller disconnected."""
+        self._callback_by_key.pop(key, None)
         scheduler = self.find_scheduler(service)
         self._apply(scheduler.withdraw(key, time.monotonic()))
 
-    def bears(
+    def can_handle(
         self, service: fleet_configuration.Service, router: str, server: str
     ) -> bool:
-        """Tell whether a server, if it is cold, bears one more of a router."""
+        """Return whether a server can take one more of a router's requests.
+
+        Only cold servers are limited.
+        """
         scheduler = self.find_scheduler(service)
         return scheduler.bears(router, server, time.monotonic())
 
@@ -198,7 +201,7 @@
         ahead: float | None = None,
         copied: int = 0,
     ) -> None:
-        """A request was started by decision of somebody else."""
+        """Record a request started by the decision of another scheduler."""
         scheduler = self.find_scheduler(service)
         scheduler.note_started_elsewhere(
             work, server, time.monotonic(), ahead=ahead, copied=copied
@@ -213,9 +216,10 @@
         reading: bool,
         ended: bool,
     ) -> None:
-        """A request was started some time ago by decision of somebody else.
+        """Record an earlier start decided by another scheduler.
 
-        One that has ended still tells what its server keeps.
+        A request that has ended still shows what its server has in its KV
+        cache.
         """
         scheduler = self._scheduler_by_service.get(service_name)
         if scheduler is None:
@@ -230,7 +234,7 @@
     def reconcile(
         self, router: str, *, running: Set[str], reading: Set[str]
     ) -> None:
-        """Take which of a router's requests run, and which are still read."""
+        """Set which of a router's requests run and which are in prefill."""
         now = time.monotonic()
         for scheduler in self._scheduler_by_service.values():
             self._apply(
@@ -246,14 +250,14 @@
         *,
         late: bool,
     ) -> None:
-        """A request's first token came; ``late`` if it may be seen late."""
+        """Record a first token; ``late`` if it was possibly seen late."""
         scheduler = self.find_scheduler(service)
         self._apply(
             scheduler.note_first_token(key, time.monotonic(), late=late)
         )
 
     def note_end(self, service: fleet_configuration.Service, key: str) -> None:
-        """A request ended at its server."""
+        """Record that a request ended at its server."""
         scheduler = self.find_scheduler(service)
         self._apply(scheduler.note_end(key, time.monotonic()))
 
@@ -264,14 +268,14 @@
         *,
         certain: bool,
     ) -> None:
-        """A request failed at its server."""
+        """Record that a request failed at its server."""
         scheduler = self.find_scheduler(service)
         self._apply(
             scheduler.note_failure(key, time.monotonic(), certain=certain)
         )
 
     def describe(self, service: str) -> dict[str, object] | None:
-        """Return what a service's scheduler believes, or ``None``."""
+        """Return the state of a service's scheduler, or ``None``."""
         scheduler = self._scheduler_by_service.get(service)
         if scheduler is None:
             return None
@@ -283,21 +287,21 @@
             "engines": scheduler.describe(now),
         }
 
-    def take_tally(self, service: str, most: int) -> list[dict]:
-        """Return what was decided for each organisation since the last call."""
+    def take_tally(self, service: str, limit: int) -> list[dict]:
+        """Return the decisions per organisation since the last call."""
         scheduler = self._scheduler_by_service.get(service)
         if scheduler is None:
             return []
-        rows = scheduler.tally.take(most, by="asked")
+        rows = scheduler.tally.take(limit, by="asked")
         for row in rows:
             row["waiting"] = scheduler.count_waiting(row["organisation"])
         return rows
 
-    def _apply(self, decided: Iterable[actions.Action]) -> None:
-        for action in decided:
-            deliver = self._deliver_by_key.pop(action.key, None)
-            if deliver is not None:
-                deliver(action)
+    def _apply(self, decisions: Iterable[actions.Action]) -> None:
+        for action in decisions:
+            on_decision = self._callback_by_key.pop(action.key, None)
+            if on_decision is not None:
+                on_decision(action)
 
     def _expire(self) -> None:
         while True:
--- a/packages/daisypick_router/src/daisypick_router/engine_way.py
+++ b/packages/daisypick_router/src/daisypick_router/engine_way.py
@@ -1,10 +1,10 @@
-"""The way of a request to a model service: scheduled, streamed.
+"""Handles requests of model services: scheduling, streaming and retries.
 
-The scheduler says when and where the request starts. The head of the answer
-is held until the first whole event, so a server that breaks off before it
-costs the caller nothing but time. A stream that breaks off later goes on at
-another server if its route allows that; else the caller's connection is cut,
-so that the stream cannot look whole.
+The scheduler decides when and at which server a request starts. The head of
+the response is held back until the first complete event, so that a server
+that fails before it costs the caller only time. A stream that fails later is
+resumed at another server if its route allows it. Otherwise the caller's
+connection is aborted, so that the caller cannot take the stream for complete.
 """
 
 import time
@@ -29,19 +29,20 @@
 from daisypick_router import tries as try_rules
 
 _EVENT_STREAM = b"text/event-stream"
-# Silence in seconds after which a stream that may go on elsewhere does so.
-# Callers give up themselves after two seconds at the least.
-_EVENT_SILENCE = 1.2
-# The same for the first event, in objectives and at least in seconds.
-_FIRST_SILENCE_OBJECTIVES = 2.5
-_FIRST_SILENCE = 1.0
-# Part of the most tokens that a caller allows which is generated, where it
-# gives no guess of its own.
-_OUTPUT_SHARE = 0.5
+# Seconds without an event after which a resumable stream is resumed at another
+# server. Callers themselves time out after two seconds at the earliest.
+_EVENT_TIMEOUT_SECONDS = 1.2
+# Timeout for the first event: a multiple of the route's latency target, and a
+# minimum in seconds.
+_FIRST_EVENT_TIMEOUT_OBJECTIVES = 2.5
+_MIN_FIRST_EVENT_TIMEOUT_SECONDS = 1.0
+# Expected output as a fraction of the caller's maximum number of output tokens,
+# used if the caller sends no estimate.
+_EXPECTED_OUTPUT_SHARE = 0.5
 
 
 class EngineWay:
-    """Serves requests of model services."""
+    """Handles requests of model services."""
 
     def __init__(
         self,
@@ -67,27 +68,29 @@
         connection: http_server.CallerConnection,
         context: contexts.Context,
     ) -> failure.Failure | str:
-        """Answer a request; return a word on how, or the failure."""
+        """Answer a request; return the outcome, or the failure."""
         refused = False
         try:
             outcome = self._serve(connection, context)
             refused = failure.is_failure(outcome)
             return outcome
         finally:
-            self._count_missed(context, refused=refused)
+            self._count_missed_objective(context, refused=refused)
 
-    def _count_asked(
+    def _count_demand(
         self, context: contexts.Context, organisation: str
     ) -> None:
-        words = context.words
-        cost = job.find_cost(words.prompt_tokens, _find_output_tokens(words))
+        caller_headers = context.caller_headers
+        cost = job.find_cost(
+            caller_headers.prompt_tokens, _find_output_tokens(caller_headers)
+        )
         self._placing.tally.add(organisation, requests=1, asked=cost)
         self._placing.tally.note_most(organisation, "largest", cost)
 
-    def _count_missed(
+    def _count_missed_objective(
         self, context: contexts.Context, *, refused: bool
     ) -> None:
-        """Count a request that was refused, or began late or never."""
+        """Count a request that was refused, or started late or never."""
         began_at = context.first_event_at
         in_time = began_at is not None and began_at <= context.objective_at
         if refused or not in_time:
@@ -102,41 +105,45 @@
         connection: http_server.CallerConnection,
         context: contexts.Context,
     ) -> failure.Failure | str:
-        stream = event_stream.EventStream(last_id=context.words.last_event)
-        tried: try_rules.FailedTry | None = None
+        stream = event_stream.EventStream(
+            last_id=context.caller_headers.last_event
+        )
+        result: try_rules.FailedTry | None = None
         organisation = context.organisation or ""
-        self._count_asked(context, organisation)
-        refused = self._placing.refuse_unasked(
+        self._count_demand(context, organisation)
+        refused = self._placing.refuse_locally(
             context.service, organisation, context.attempt, time.monotonic()
         )
         if refused is not None:
-            return self._give_up(context, None, refused)
-        while tried is None or self._tries.may_send_again(context, tried):
+            return self._make_failure(context, None, refused)
+        while result is None or self._tries.may_retry(context, result):
             work = self._make_job(context)
-            decided = self._placing.acquire(context.service, work)
-            if isinstance(decided, actions.Refuse):
-                return self._give_up(context, tried, decided)
+            action = self._placing.acquire(context.service, work)
+            if isinstance(action, actions.Refuse):
+                return self._make_failure(context, result, action)
             directory = self._discovery.directory
-            server = directory.server_by_name.get(decided.server)
-            context.tried.add(decided.server)
+            server = directory.server_by_name.get(action.server)
+            context.tried_servers.add(action.server)
             if server is None or not directory.may_get_work(server):
                 self._placing.note_end(context.service, work.key)
                 continue
-            source = directory.server_by_name.get(decided.source)
-            tried = self._try(connection, context, work, server, source, stream)
-            if isinstance(tried, str):
-                return tried
-            self._tries.note_failed(context, decided.server, tried)
-        return try_rules.conclude(context, tried)
+            source = directory.server_by_name.get(action.source)
+            result = self._try(
+                connection, context, work, server, source, stream
+            )
+            if isinstance(result, str):
+                return result
+            self._tries.note_failed(context, action.server, result)
+        return try_rules.choose_failure(context, result)
 
-    def _give_up(
+    def _make_failure(
         self,
         context: contexts.Context,
-        tried: try_rules.FailedTry | None,
+        result: try_rules.FailedTry | None,
         refused: actions.Refuse,
     ) -> failure.Failure:
         if context.may_have_run:
-            return try_rules.conclude(context, tried)
+            return try_rules.choose_failure(context, result)
         return failure.Failure(
             code=codes.TOO_LATE,
             reason=refused.reason,
@@ -144,29 +151,32 @@
         )
 
     def _make_job(self, context: contexts.Context) -> job.Job:
-        words = context.words
-        # A request that was read late, or fails at a server, is late already.
-        # Judged by what is left of its objective it would be refused, and an
-        # organisation whose callers reach a busy VM would get nothing.
+        caller_headers = context.caller_headers
+        # A request that was read late or is retried has used up part of its
+        # latency target. With only the remainder it would be refused, and an
+        # organisation whose callers are connected to a busy VM would starve.
         objective_at = max(
             context.objective_at, time.monotonic() + context.route.objective
         )
-        # The host may be cut off from the platform's list while we are not.
-        closed = self._discovery.directory.find_closed(context.service.name)
+        # Only this router may know of these servers: the scheduler host may be
+        # cut off from the platform's list.
+        unavailable = self._discovery.directory.find_closed(
+            context.service.name
+        )
         return job.Job(
-            key=f"{context.attempt}/{len(context.tried)}",
+            key=f"{context.attempt}/{len(context.tried_servers)}",
             router=self._router,
             organisation=context.organisation or "",
             parts=tuple(
                 job.Part(name=part.name, tokens=part.tokens)
-                for part in words.parts
+                for part in caller_headers.parts
             ),
-            prompt_tokens=words.prompt_tokens,
-            output_tokens=_find_output_tokens(words),
+            prompt_tokens=caller_headers.prompt_tokens,
+            output_tokens=_find_output_tokens(caller_headers),
             arrived_at=time.monotonic(),
             objective_at=objective_at,
             deadline_at=context.deadline,
-            avoid=frozenset(context.tried.union(closed)),
+            avoid=frozenset(context.tried_servers.union(unavailable)),
             data_centre=self._data_centre,
         )
 
@@ -179,21 +189,23 @@
         source: backend_server.BackendServer | None,
         stream: event_stream.EventStream,
     ) -> try_rules.FailedTry | str:
-        """Send a request once and pass on what comes."""
-        tried: try_rules.FailedTry | str | None = None
+        """Send a request to one server and relay the response."""
+        result: try_rules.FailedTry | str | None = None
         try:
-            tried = self._exchange(
+            result = self._exchange(
                 connection, context, work, server, source, stream
             )
         finally:
-            if not _blames_server(tried):
+            if not _is_server_failure(result):
                 self._placing.note_end(context.service, work.key)
             else:
-                down = isinstance(tried, exchange.NotRun) and tried.server_down
+                down = (
+                    isinstance(result, exchange.NotRun) and result.server_down
+                )
                 self._placing.note_failure(
                     context.service, work.key, certain=down
                 )
-        return tried
+        return result
 
     def _exchange(
         self,
@@ -210,68 +222,76 @@
             context,
             server,
             last_event=stream.last_id,
-            silence=self._first_silence(context, arrivals=context.arrivals + 1),
+            head_timeout=self._find_first_event_timeout(
+                context, servers_reached=context.servers_reached + 1
+            ),
             copy_from=source.address if source is not None else None,
         )
         if isinstance(opened, exchange.NotRun):
-            context.arrivals += opened.arrived
+            context.servers_reached += opened.reached_server
             return opened
-        context.arrivals += 1
+        context.servers_reached += 1
         if isinstance(opened, exchange.Unknown):
             return opened
-        kind = messages.find_header(opened.head.headers, b"content-type")
-        if opened.head.status != 200 or not (kind or b"").startswith(
+        content_type = messages.find_header(
+            opened.head.headers, b"content-type"
+        )
+        if opened.head.status != 200 or not (content_type or b"").startswith(
             _EVENT_STREAM
         ):
-            return self._pass_whole(connection, context, opened)
-        return self._pass_stream(connection, context, work, opened, stream)
+            return self._relay_whole(connection, context, opened)
+        return self._relay_stream(connection, context, work, opened, stream)
 
-    def _first_silence(
-        self, context: contexts.Context, *, arrivals: int
+    def _find_first_event_timeout(
+        self, context: contexts.Context, *, servers_reached: int
     ) -> float:
         left = context.deadline - time.monotonic()
-        if not self._tries.may_give_up(context, arrivals=arrivals):
+        if not self._tries.may_fail_over(
+            context, servers_reached=servers_reached
+        ):
             return left
-        patience = context.route.objective * _FIRST_SILENCE_OBJECTIVES
-        return min(left, max(patience, _FIRST_SILENCE))
+        timeout = context.route.objective * _FIRST_EVENT_TIMEOUT_OBJECTIVES
+        return min(left, max(timeout, _MIN_FIRST_EVENT_TIMEOUT_SECONDS))
 
-    def _pass_whole(
+    def _relay_whole(
         self,
         connection: http_server.CallerConnection,
         context: contexts.Context,
-        opened: exchange.Opened,
+        opened: exchange.OpenExchange,
     ) -> relay.Broken | str:
-        answer = plain_way.read_whole(self._pool, opened, context.deadline)
-        if isinstance(answer, relay.Broken):
-            return answer
+        response = plain_way.read_whole(self._pool, opened, context.deadline)
+        if isinstance(response, relay.Broken):
+            return response
         if connection.answer_begun:
             return relay.Broken(
-                reason=f"server answered {answer.head.status} to go on"
+                reason=f"server answered {response.head.status} to go on"
             )
-        plain_way.deliver(connection, answer)
-        return f"answered_{answer.head.status}"
+        plain_way.send_response(connection, response)
+        return f"answered_{response.head.status}"
 
-    def _pass_stream(
+    def _relay_stream(
         self,
         connection: http_server.CallerConnection,
         context: contexts.Context,
         work: job.Job,
-        opened: exchange.Opened,
+        opened: exchange.OpenExchange,
         stream: event_stream.EventStream,
     ) -> relay.Broken | str:
         reader = relay.EventReader(opened=opened, stream=stream)
         ended = None
-        silence = self._first_silence(context, arrivals=context.arrivals)
+        event_timeout = self._find_first_event_timeout(
+            context, servers_reached=context.servers_reached
+        )
         first = True
         try:
             while True:
-                events = self._read_events(context, reader, silence)
+                events = self._read_events(context, reader, event_timeout)
                 if not isinstance(events, bytes):
                     ended = events
                     break
                 if first:
                     first = False
-                    silence = _EVENT_SILENCE
+                    event_timeout = _EVENT_TIMEOUT_SECONDS
                     self._note_first(context, work)
                 if not connection.answer_begun:
                     connection.begin_stream(
@@ -282,7 +302,7 @@
                     )
                 connection.send_chunk(events)
         finally:
-            if not isinstance(ended, relay.Ended):
+            if not isinstance(ended, relay.StreamEnded):
                 opened.connection.close()
         if isinstance(ended, relay.Broken):
             return ended
@@ -299,20 +319,23 @@
         self,
         context: contexts.Context,
         reader: relay.EventReader,
-        silence: float,
-    ) -> bytes | relay.Ended | relay.Broken:
-        """Return what comes next of a stream.
+        event_timeout: float,
+    ) -> bytes | relay.StreamEnded | relay.Broken:
+        """Return the next events of a stream, its end, or why it failed.
 
-        Giving up a silent server helps only a stream that another one may go
-        on with; any other would be cut though its server may still work.
+        The timeout applies only to a stream that can be resumed at another
+        server. Any other would be aborted though its server may still be
+        working, so it is read until the deadline.
         """
-        until = min(time.monotonic() + silence, context.deadline)
+        until = min(time.monotonic() + event_timeout, context.deadline)
         events = reader.read(until)
         if (
             isinstance(events, relay.Broken)
-            and events.silent
+            and events.timed_out
             and until < context.deadline
-            and not self._tries.may_give_up(context, arrivals=context.arrivals)
+            and not self._tries.may_fail_over(
+                context, servers_reached=context.servers_reached
+            )
         ):
             return reader.read(context.deadline)
         return events
@@ -329,16 +352,16 @@
         )
 
 
-def _find_output_tokens(words: request_headers.CallerWords) -> int:
-    """Return how many tokens a request is expected to generate."""
-    expected = words.expected_tokens
+def _find_output_tokens(caller_headers: request_headers.CallerWords) -> int:
+    """Return the expected number of output tokens of a request."""
+    expected = caller_headers.expected_tokens
     if not expected:
-        expected = int(words.output_tokens * _OUTPUT_SHARE)
-    return min(expected, words.output_tokens or expected)
+        expected = int(caller_headers.output_tokens * _EXPECTED_OUTPUT_SHARE)
+    return min(expected, caller_headers.output_tokens or expected)
 
 
-def _blames_server(tried: try_rules.FailedTry | str | None) -> bool:
-    """Tell whether a try failed at its server."""
-    if tried is None or isinstance(tried, str):
+def _is_server_failure(result: try_rules.FailedTry | str | None) -> bool:
+    """Return whether the server caused the failure of a try."""
+    if result is None or isinstance(result, str):
         return False
-    return not (isinstance(tried, exchange.NotRun) and tried.unsent)
+    return not (isinstance(result, exchange.NotRun) and result.unsent)
--- a/packages/daisypick_router/src/daisypick_router/exchange.py
+++ b/packages/daisypick_router/src/daisypick_router/exchange.py
@@ -1,6 +1,6 @@
-"""One request at one backend server, up to the head of its answer.
+"""Sends a request to a backend server and reads the head of the response.
 
-What went wrong is told apart by what it says of the request: it did not run
+Failures are classified by what they imply for the request: it did not run
 (``NotRun``), or it may have run (``Unknown``).
 """
 
@@ -15,44 +15,44 @@
 from daisypick_platform import request_headers
 from daisypick_router import context as contexts
 
-_SEND_SECONDS = 5.0
+_SEND_TIMEOUT_SECONDS = 5.0
 
 
 class NotRun(typing.NamedTuple):
-    """The request surely did not run there.
+    """The request certainly did not run at this server.
 
     Attributes:
         reason: For the log.
-        arrived: Whether the server saw it and turned it away.
-        server_down: Whether the server could not be reached.
-        misdirected: Whether another server lives at the address now.
-        unsent: Whether it was not sent for a reason that tells nothing of
-            the server: its deadline had passed, or this process has no
-            descriptor left.
+        reached_server: Whether the server received and rejected it.
+        server_down: Whether no connection to the server could be opened.
+        misdirected: Whether another server now uses the address.
+        unsent: Whether it was not sent for a reason unrelated to the server:
+            its deadline had passed, or this process has no file descriptor
+            left.
     """
 
     reason: str
-    arrived: bool
+    reached_server: bool
     server_down: bool = False
     misdirected: bool = False
     unsent: bool = False
 
 
 class Unknown(typing.NamedTuple):
-    """The request may have run there, and no answer can be passed on."""
+    """The request may have run, but there is no response to relay."""
 
     reason: str
-    silent: bool = False
+    timed_out: bool = False
 
 
-class Opened(typing.NamedTuple):
-    """The head of the server's own answer is in; its body is to be read."""
+class OpenExchange(typing.NamedTuple):
+    """The head of the server's response was read; its body was not."""
 
     connection: connections.Connection
     head: messages.AnswerHead
 
 
-Outcome = NotRun | Unknown | Opened
+Outcome = NotRun | Unknown | OpenExchange
 
 
 def open_exchange(
@@ -62,47 +62,51 @@
     server: backend_server.BackendServer,
     *,
     last_event: int | None,
-    silence: float,
+    head_timeout: float,
     copy_from: tuple[str, int] | None = None,
 ) -> Outcome:
-    """Send a request and read the head of its answer.
+    """Send a request and read the head of its response.
 
     Args:
         pool: Connections to backend servers.
-        caller: Whose request it is.
+        caller: Connection of the caller.
         context: The request.
-        server: Where it goes.
-        last_event: Go on after this event of a stream.
-        silence: Seconds without a byte after which the server is given up.
-        copy_from: Address of a server that keeps more of the prompt.
+        server: Server to send it to.
+        last_event: Id of the event after which to resume a stream.
+        head_timeout: Seconds to wait for the head of the response.
+        copy_from: Address of a server that has more of the prompt in its KV
+            cache.
 
     Raises:
-        CallerLeft: The caller left before the request was sent.
+        CallerLeft: The caller disconnected before the request was sent.
     """
     try:
         connection = pool.take(server.address)
     except connections.NoDescriptorsError as error:
-        return NotRun(reason=str(error), arrived=False, unsent=True)
+        return NotRun(reason=str(error), reached_server=False, unsent=True)
     except connections.NotConnectedError as error:
-        return NotRun(reason=str(error), arrived=False, server_down=True)
-    # The loop may have been busy since anybody looked at the time or the
-    # caller; a server works in vain on what is sent too late.
+        return NotRun(reason=str(error), reached_server=False, server_down=True)
+    # The loop may have been busy since the deadline and the caller's
+    # connection were last checked. A request sent too late would waste the
+    # server's capacity.
     if time.monotonic() >= context.deadline:
         pool.give_back(connection)
-        return NotRun(reason="too late to send", arrived=False, unsent=True)
+        return NotRun(
+            reason="too late to send", reached_server=False, unsent=True
+        )
     if caller.has_left():
         pool.give_back(connection)
         raise http_server.CallerLeft
     finished = False
     try:
         outcome = _send_and_read(
-            connection, context, server, last_event, silence, copy_from
+            connection, context, server, last_event, head_timeout, copy_from
         )
-        finished = isinstance(outcome, Opened) or connection.is_reusable()
+        finished = isinstance(outcome, OpenExchange) or connection.is_reusable()
     finally:
         if not finished:
             connection.close()
-    if not isinstance(outcome, Opened) and finished:
+    if not isinstance(outcome, OpenExchange) and finished:
         pool.give_back(connection)
     return outcome
 
@@ -112,7 +116,7 @@
     context: contexts.Context,
     server: backend_server.BackendServer,
     last_event: int | None,
-    silence: float,
+    head_timeout: float,
     copy_from: tuple[str, int] | None,
 ) -> Outcome:
     request = context.request
@@ -132,36 +136,41 @@
     )
     try:
         context.is_sent = True
-        connection.send(data, method=request.method, timeout=_SEND_SECONDS)
-        return _read_head(connection, context, silence)
+        connection.send(
+            data, method=request.method, timeout=_SEND_TIMEOUT_SECONDS
+        )
+        return _read_head(connection, context, head_timeout)
     except connections.ConnectionBrokeError as error:
         return Unknown(reason=str(error))
     except connections.AnswerTimeoutError as error:
-        return Unknown(reason=str(error), silent=True)
+        return Unknown(reason=str(error), timed_out=True)
 
 
 def _read_head(
     connection: connections.Connection,
     context: contexts.Context,
-    silence: float,
+    head_timeout: float,
 ) -> Outcome:
-    """Read up to the head of the answer to this very request.
+    """Read the head of the response to this request.
 
-    An answer that bears another attempt's id is a late one to an earlier
-    request on the connection; it is read and thrown away.
+    A response with the id of another attempt is a late one to an earlier
+    request on the connection; it is read and discarded.
     """
-    silent_at = time.monotonic() + silence
+    head_due_at = time.monotonic() + head_timeout
     while True:
-        _read_until_head(connection, min(silent_at, context.deadline))
+        _read_until_head(connection, min(head_due_at, context.deadline))
         reader = connection.reader
         if reader.head is None:
             return Unknown(reason=reader.broken or "no head of an answer")
-        words = request_headers.read_server(reader.head.headers)
-        if words.attempt is not None and words.attempt != context.attempt:
+        server_headers = request_headers.read_server(reader.head.headers)
+        if (
+            server_headers.attempt is not None
+            and server_headers.attempt != context.attempt
+        ):
             _read_to_end(connection, context.deadline)
             connection.reader.pass_over()
             continue
-        return _judge(connection, words, context.deadline)
+        return _classify_response(connection, server_headers, context.deadline)
 
 
 def _read_until_head(connection: connections.Connection, until: float) -> None:
@@ -179,26 +188,27 @@
             raise connections.ConnectionBrokeError(reader.broken)
 
 
-def _judge(
+def _classify_response(
     connection: connections.Connection,
-    words: request_headers.ServerWords,
+    server_headers: request_headers.ServerWords,
     deadline: float,
 ) -> Outcome:
     head = connection.reader.head
-    if words.not_executed or head.status == 421:
+    if server_headers.not_executed or head.status == 421:
         try:
             _read_to_end(connection, deadline)
         except (
             connections.ConnectionBrokeError,
             connections.AnswerTimeoutError,
         ):
-            # The verdict is in the head; only the connection is lost.
+            # The head alone shows that the request did not run. Without the
+            # whole body the connection cannot be reused.
             connection.close()
         return NotRun(
             reason=f"server answered {head.status}",
-            arrived=True,
+            reached_server=True,
             misdirected=head.status == 421,
         )
-    if not words.sealed:
+    if not server_headers.sealed:
         return Unknown(reason=f"answer {head.status} bears no seal")
-    return Opened(connection=connection, head=head)
+    return OpenExchange(connection=connection, head=head)
--- a/packages/daisypick_router/src/daisypick_router/identify.py
+++ b/packages/daisypick_router/src/daisypick_router/identify.py
@@ -1,4 +1,4 @@
-"""Whose request it is and where it leads."""
+"""Finds the route, the organisation and the service of a request."""
 
 import random
 
@@ -9,8 +9,8 @@
 from daisypick_platform import request_headers
 from daisypick_router import context as contexts
 
-# A router without a configuration asks callers back after this time; a list
-# and its answer take a few hundredths of a second when the store is well.
+# Seconds after which callers may retry while there is no configuration yet.
+# Listing it takes a few hundredths of a second when the store is healthy.
 _RETRY_AFTER_UNCONFIGURED = 0.5
 
 
@@ -19,24 +19,25 @@
     configuration: fleet_configuration.FleetConfiguration | None,
     rng: random.Random,
 ) -> contexts.Context | failure.Failure:
-    """Return the context of a request, or why it is refused."""
+    """Return the context of a request, or the failure if it is refused."""
     if configuration is None:
         return failure.Failure(
             code=codes.NOT_CONFIGURED,
             reason="no configuration was read yet",
             retry_after=_RETRY_AFTER_UNCONFIGURED,
         )
-    words = request_headers.read_caller(request.headers)
+    caller_headers = request_headers.read_caller(request.headers)
     route = configuration.routes.find(
-        words.host, request.target.decode("latin-1")
+        caller_headers.host, request.target.decode("latin-1")
     )
     if route is None:
         return failure.Failure(
-            code=codes.NO_ROUTE, reason=f"host {words.host!r} and its path"
+            code=codes.NO_ROUTE,
+            reason=f"host {caller_headers.host!r} and its path",
         )
     organisation = None
     if not route.public and configuration.organisation_by_key:
-        owner = configuration.organisation_by_key.get(words.key or "")
+        owner = configuration.organisation_by_key.get(caller_headers.key or "")
         if owner is None:
             return failure.Failure(
                 code=codes.UNAUTHENTICATED, reason="key is missing or unknown"
@@ -50,7 +51,7 @@
         )
     return contexts.Context(
         request=request,
-        words=words,
+        caller_headers=caller_headers,
         route=route,
         organisation=organisation,
         service=service,
--- a/packages/daisypick_router/src/daisypick_router/placing.py
+++ b/packages/daisypick_router/src/daisypick_router/placing.py
@@ -1,10 +1,11 @@
-"""Where a request starts: asked of the service's host, or decided alone.
+"""Requests placements of model requests from the service's scheduler host.
 
 Every model service has one scheduler, hosted by one of the routers. It sees
-all requests of the service, so it can keep tenants even, place by what each
-engine keeps and fill each engine just so far. When the host does not answer
-for a quarter of a second, or no connection to it stands, a router decides by
-itself with its own small part of every engine's capacity.
+all requests of the service, so it can share capacity fairly between tenants,
+place requests by the KV cache of each engine and limit the load of each
+engine. If the host does not answer for a quarter of a second, or there is no
+connection to it, a router falls back to a local scheduler with its own small
+share of every engine's capacity.
 """
 
 import collections
@@ -33,22 +34,24 @@
 from daisypick_router import store_feed
 
 _REPORT_SECONDS = 1.0
-# Organisations in one line of a report; a flood is among those that ask most.
+# Organisations per log line, those with the highest demand first. An
+# organisation that causes a load spike is among them.
 _REPORTED_ORGANISATIONS = 16
-# Placements that are told to a new host, so that it knows what engines keep;
-# an engine's memory turns over in about this many requests of a router.
-_REMEMBERED = 400
+# Recent placements per service that are sent to a new host, so that it knows
+# what engines have in their KV caches. After about this many requests of one
+# router an engine's cache has been replaced.
+_MAX_RECENT_PLACEMENTS = 400
 
 
-class _Placed(typing.NamedTuple):
-    """A request that was started, for a new host to know."""
+class _Placement(typing.NamedTuple):
+    """A started request, kept to be sent to a new host."""
 
     work: job.Job
     server: str
 
 
 class Placing:
-    """Asks for starts and tells what became of them."""
+    """Requests placements and reports how the placed requests progress."""
 
     def __init__(
         self,
@@ -73,41 +76,44 @@
             feed=feed,
             log=log,
             rng=rng,
-            on_up=self._tell_running,
+            on_up=self._send_placements,
         )
         self.alone = alone
         self._load = load
         self._log = log
         self._metrics = metrics
         self._rng = rng
-        # What callers of this router asked for and got.
+        # Demand and service of this router's callers, by organisation.
         self.tally = organisation_tally.OrganisationTally()
         self._host_by_service: dict[str, str] = {}
-        self._placed_by_service: dict[str, collections.deque[_Placed]] = {}
-        self._reading: set[str] = set()
-        # Those of them whose start was heard by a late loop.
-        self._started_late: set[str] = set()
+        self._placements_by_service: dict[
+            str, collections.deque[_Placement]
+        ] = {}
+        self._prefilling: set[str] = set()
+        # Those of them whose start was received while the loop lagged.
+        self._started_during_lag: set[str] = set()
         self._running: set[str] = set()
         self._pauses_by_service: dict[str, pauses.Pauses] = (
             collections.defaultdict(pauses.Pauses)
         )
-        # Requests of each organisation that wait for a decision.
-        self._asking_by_service: dict[str, collections.Counter[str]] = (
+        # Requests of each organisation that wait for a placement decision.
+        self._pending_by_service: dict[str, collections.Counter[str]] = (
             collections.defaultdict(collections.Counter)
         )
 
     def start(self) -> None:
-        """Begin to watch the hosts."""
+        """Start connecting to the hosts and reporting."""
         self.links.start()
         gevent.spawn(self._report)
 
     def _report(self) -> None:
-        """Log what schedulers hosted here believe and what callers got."""
+        """Log the schedulers' state and the service that callers received."""
         while True:
             gevent.sleep(_REPORT_SECONDS)
             for service, host in self._host_by_service.items():
-                # Of every scheduler, or sums of all organisations that ever
-                # asked would pile up in those that host nothing.
+                # Drain the tallies of all schedulers: those that are not
+                # logged would otherwise grow with every organisation that
+                # ever sent a request.
                 self.alone.take_tally(service, 0)
                 decisions = self._hosted.take_tally(
                     service, _REPORTED_ORGANISATIONS
@@ -137,23 +143,25 @@
         )
 
     def find_host(self, service: str) -> str | None:
-        """Return the first candidate that can be asked."""
+        """Return the first reachable candidate host, or ``None``."""
         name = self.links.find_host(service)
-        self._note_host(service, name or "")
+        self._set_host(service, name or "")
         return name
 
-    def _note_host(self, service: str, name: str) -> None:
+    def _set_host(self, service: str, name: str) -> None:
         if self._host_by_service.get(service) == name:
             return
         self._host_by_service[service] = name
         link = self.links.find_link(name)
         if name == self._name:
-            self._tell_ourselves(service)
+            self._load_own_scheduler(service)
         elif link is not None:
-            self._tell_running(link)
+            self._send_placements(link)
         self._log.write(
             "placing",
-            "A service has another host." if name else "We decide alone.",
+            "Scheduler host changed."
+            if name
+            else "No scheduler host; placing locally.",
             service=service,
             host=name,
         )
@@ -161,44 +169,45 @@
     def acquire(
         self, service: fleet_configuration.Service, work: job.Job
     ) -> actions.Action:
-        """Wait until a request may start, or is refused."""
-        refused = self.refuse_unasked(
+        """Wait until a request may start or is refused."""
+        refused = self.refuse_locally(
             service, work.organisation, work.key, work.arrived_at
         )
         if refused is not None:
             return refused
-        asking = self._asking_by_service[service.name]
-        asking[work.organisation] += 1
+        pending = self._pending_by_service[service.name]
+        pending[work.organisation] += 1
         try:
-            decided = self._decide(service, work)
+            action = self._decide(service, work)
         finally:
-            asking[work.organisation] -= 1
-            if not asking[work.organisation]:
-                del asking[work.organisation]
-        if isinstance(decided, actions.Refuse) and decided.pause > 0.0:
+            pending[work.organisation] -= 1
+            if not pending[work.organisation]:
+                del pending[work.organisation]
+        if isinstance(action, actions.Refuse) and action.pause > 0.0:
             self._pauses_by_service[service.name].set(
-                work.organisation, seconds=decided.pause, now=time.monotonic()
+                work.organisation, seconds=action.pause, now=time.monotonic()
             )
-        return decided
+        return action
 
-    def refuse_unasked(
+    def refuse_locally(
         self,
         service: fleet_configuration.Service,
         organisation: str,
         key: str,
         now: float,
     ) -> actions.Refuse | None:
-        """Refuse a flood's request if the host would; it is not asked.
+        """Refuse a request without asking the host, if the host would too.
 
-        Costs a fraction of what the request itself would, so it comes first.
+        This applies to organisations whose requests were refused recently.
+        It costs a fraction of handling the request, so it is called first.
         """
-        paused = self._pauses_by_service[service.name]
-        if not paused.was_paused(organisation, now):
+        service_pauses = self._pauses_by_service[service.name]
+        if not service_pauses.was_paused(organisation, now):
             return None
-        asking = self._asking_by_service[service.name][organisation]
-        if paused.is_paused(organisation, now):
+        pending = self._pending_by_service[service.name][organisation]
+        if service_pauses.is_paused(organisation, now):
             reason = "its organisation was refused just before"
-        elif asking >= admission.MOST_WAITING_BEYOND:
+        elif pending >= admission.MOST_WAITING_BEYOND:
             reason = "as many of its organisation ask as may wait"
         else:
             return None
@@ -213,75 +222,79 @@
         self, service: fleet_configuration.Service, work: job.Job
     ) -> actions.Action:
         host = self.find_host(service.name)
-        decided: actions.Action | None = None
+        action: actions.Action | None = None
         if host == self._name:
-            decided = self._hosted.acquire(service, work)
+            action = self._hosted.acquire(service, work)
         elif host is not None:
-            decided = self._ask(service, work, self.links.find_link(host))
-        if isinstance(decided, actions.Start) and not self.alone.bears(
-            service, work.router, decided.server
+            action = self._submit_to_host(
+                service, work, self.links.find_link(host)
+            )
+        if isinstance(action, actions.Start) and not self.alone.can_handle(
+            service, work.router, action.server
         ):
-            decided, work = None, self._give_back(service, work, decided)
-        if decided is None:
+            action, work = None, self._decline_start(service, work, action)
+        if action is None:
             self._metrics.count("placed_alone_total", service=service.name)
-            decided = self.alone.acquire(service, work)
-            if isinstance(decided, actions.Start):
-                self._tell_started(service, work, decided.server)
-        elif isinstance(decided, actions.Start):
+            action = self.alone.acquire(service, work)
+            if isinstance(action, actions.Start):
+                self._report_start(service, work, action.server)
+        elif isinstance(action, actions.Start):
             if self._host_by_service.get(service.name) != host:
-                # Another host since we asked; it does not know of this one.
-                self._tell_started(service, work, decided.server)
+                # The host changed while the request was waiting; the new
+                # one does not know of this start.
+                self._report_start(service, work, action.server)
             self.alone.note_started_elsewhere(
                 service,
                 work,
-                decided.server,
-                ahead=decided.ahead,
-                copied=decided.copied,
+                action.server,
+                ahead=action.ahead,
+                copied=action.copied,
             )
-        if isinstance(decided, actions.Start):
-            self._remember(service, work, decided.server)
+        if isinstance(action, actions.Start):
+            self._record_start(service, work, action.server)
             self._log.write(
                 "placing",
                 "Start.",
                 id=work.key,
                 host=host,
-                server=decided.server,
+                server=action.server,
                 organisation=work.organisation,
                 prompt=work.prompt_tokens,
                 output=work.output_tokens,
-                kept=decided.kept,
-                elsewhere=decided.elsewhere,
-                ahead=decided.ahead,
-                source=decided.source,
-                copied=decided.copied,
+                kept=action.kept,
+                elsewhere=action.elsewhere,
+                ahead=action.ahead,
+                source=action.source,
+                copied=action.copied,
                 waited=round(time.monotonic() - work.arrived_at, 4),
             )
-        return decided
+        return action
 
-    def _give_back(
+    def _decline_start(
         self,
         service: fleet_configuration.Service,
         work: job.Job,
         start: actions.Start,
     ) -> job.Job:
-        """Decline a start at a cold server; return the request without it.
+        """Decline a start at a cold server; return the job excluding it.
 
-        A host that is new, or one of two, does not know all that we sent
-        there. What a cold server bears is kept by each router for itself.
+        A host that is new, or one of two, does not know of all requests that
+        this router sent to the server. Each router therefore enforces its own
+        share of a cold server's rate.
         """
         self._hosted.note_end(service, work.key)
-        self._tell(
+        self._notify_hosts(
             service, peer_messages.End(service=service.name, key=work.key)
         )
         self._log.write(
             "placing",
-            "Declined a start at a cold server.",
+            "Declined a placement at a cold server.",
             id=work.key,
             server=start.server,
         )
         return work._replace(avoid=work.avoid | {start.server})
 
-    def _ask(
+    def _submit_to_host(
         self,
         service: fleet_configuration.Service,
         work: job.Job,
@@ -311,42 +324,44 @@
             )
         return None
 
-    def _remember(
+    def _record_start(
         self, service: fleet_configuration.Service, work: job.Job, server: str
     ) -> None:
-        placed = self._placed_by_service.get(service.name)
-        if placed is None:
-            placed = collections.deque(maxlen=_REMEMBERED)
-            self._placed_by_service[service.name] = placed
-        placed.append(_Placed(work=work, server=server))
-        self._reading.add(work.key)
+        placement = self._placements_by_service.get(service.name)
+        if placement is None:
+            placement = collections.deque(maxlen=_MAX_RECENT_PLACEMENTS)
+            self._placements_by_service[service.name] = placement
+        placement.append(_Placement(work=work, server=server))
+        self._prefilling.add(work.key)
         if self._load.is_late():
-            self._started_late.add(work.key)
+            self._started_during_lag.add(work.key)
         self._running.add(work.key)
 
     def note_first_token(
         self, service: fleet_configuration.Service, key: str
     ) -> None:
-        """A request's first token came."""
-        self._reading.discard(key)
+        """Record that a request's first token was received."""
+        self._prefilling.discard(key)
         self._log.write("placing", "First event.", id=key)
-        late = self._load.is_late() or key in self._started_late
-        self._started_late.discard(key)
+        late = self._load.is_late() or key in self._started_during_lag
+        self._started_during_lag.discard(key)
         self.alone.note_first_token(service, key, late=late)
         self._hosted.note_first_token(service, key, late=late)
-        self._tell(
+        self._notify_hosts(
             service,
             peer_messages.FirstToken(service=service.name, key=key, late=late),
         )
 
     def note_end(self, service: fleet_configuration.Service, key: str) -> None:
-        """A request ended at its server, or its caller left."""
-        self._reading.discard(key)
-        self._started_late.discard(key)
+        """Record that a request ended or that its caller disconnected."""
+        self._prefilling.discard(key)
+        self._started_during_lag.discard(key)
         self._running.discard(key)
         self.alone.note_end(service, key)
         self._hosted.note_end(service, key)
-        self._tell(service, peer_messages.End(service=service.name, key=key))
+        self._notify_hosts(
+            service, peer_messages.End(service=service.name, key=key)
+        )
 
     def note_failure(
         self,
@@ -355,32 +370,32 @@
         *,
         certain: bool,
     ) -> None:
-        """A request failed at its server."""
-        self._reading.discard(key)
-        self._started_late.discard(key)
+        """Record that a request failed at its server."""
+        self._prefilling.discard(key)
+        self._started_during_lag.discard(key)
         self._running.discard(key)
         self.alone.note_failure(service, key, certain=certain)
         self._hosted.note_failure(service, key, certain=certain)
-        self._tell(
+        self._notify_hosts(
             service,
             peer_messages.Failed(
                 service=service.name, key=key, certain=certain
             ),
         )
 
-    def _tell(
+    def _notify_hosts(
         self, service: fleet_configuration.Service, message: typing.Any
     ) -> None:
-        for name in self._find_told(service.name):
+        for name in self._find_informed_hosts(service.name):
             link = self.links.find_link(name)
             if link is not None:
                 link.tell(message)
 
-    def _find_told(self, service: str) -> list[str]:
-        """Return the candidates that know what we run.
+    def _find_informed_hosts(self, service: str) -> list[str]:
+        """Return the candidate hosts that know this router's requests.
 
-        One behind the host was told nothing of it; it is told all that runs
-        when it becomes our host.
+        Candidates after the current host were not informed; each receives all
+        running requests when it becomes the host.
         """
         candidates = self.links.find_candidates(service)
         host = self._host_by_service.get(service)
@@ -388,51 +403,53 @@
             return candidates[: candidates.index(host) + 1]
         return candidates
 
-    def _tell_started(
+    def _report_start(
         self, service: fleet_configuration.Service, work: job.Job, server: str
     ) -> None:
         self._hosted.note_started_elsewhere(service, work, server)
-        self._tell(
+        self._notify_hosts(
             service,
             self._write_running(
-                service.name, _Placed(work=work, server=server)
+                service.name, _Placement(work=work, server=server)
             ),
         )
 
-    def _tell_ourselves(self, service: str) -> None:
-        """Take what we placed by others' decision into our own scheduler."""
-        for placed in self._placed_by_service.get(service, ()):
-            key = placed.work.key
+    def _load_own_scheduler(self, service: str) -> None:
+        """Load placements decided by other hosts into the own scheduler."""
+        for placement in self._placements_by_service.get(service, ()):
+            key = placement.work.key
             self._hosted.note_known(
                 service,
-                placed.work,
-                placed.server,
-                reading=key in self._reading,
+                placement.work,
+                placement.server,
+                reading=key in self._prefilling,
                 ended=key not in self._running,
             )
 
-    def _tell_running(self, link: peer_link.PeerLink) -> None:
-        """Tell a host that we connected to what runs and what ran lately."""
-        for service in self._placed_by_service:
-            self._tell_placed(link, service)
+    def _send_placements(self, link: peer_link.PeerLink) -> None:
+        """Send running and recent placements to a newly connected host."""
+        for service in self._placements_by_service:
+            self._send_service_placements(link, service)
         link.tell(
             peer_messages.Reconcile(
-                running=tuple(self._running), reading=tuple(self._reading)
+                running=tuple(self._running), reading=tuple(self._prefilling)
             )
         )
 
-    def _tell_placed(self, link: peer_link.PeerLink, service: str) -> None:
-        for placed in self._placed_by_service.get(service, ()):
-            link.tell(self._write_running(service, placed))
+    def _send_service_placements(
+        self, link: peer_link.PeerLink, service: str
+    ) -> None:
+        for placement in self._placements_by_service.get(service, ()):
+            link.tell(self._write_running(service, placement))
 
     def _write_running(
-        self, service: str, placed: _Placed
+        self, service: str, placement: _Placement
     ) -> peer_messages.Running:
-        key = placed.work.key
+        key = placement.work.key
         return peer_messages.Running(
             service=service,
-            work=peer_messages.write_job(placed.work, time.monotonic()),
-            server=placed.server,
-            reading=key in self._reading,
+            work=peer_messages.write_job(placement.work, time.monotonic()),
+            server=placement.server,
+            reading=key in self._prefilling,
             ended=key not in self._running,
         )
--- a/packages/daisypick_router/src/daisypick_router/plain_servers.py
+++ b/packages/daisypick_router/src/daisypick_router/plain_servers.py
@@ -1,9 +1,10 @@
-"""Which backend server of a plain service gets a request.
+"""Load balancing over the backend servers of a plain service.
 
-The one with the fewest of our own requests, one in our data centre before an
-equal one elsewhere, ties by lot. Other routers' requests are not seen; a
-server that is full says so, truly, and the request goes to another. Of many
-servers some are compared, so that a request costs the same before any number.
+Selects the server with the least load from this router, prefers servers in
+this router's data centre and breaks ties at random. The load from other
+routers is unknown; a full server rejects the request without running it, and
+the request is retried elsewhere. If there are many servers, a random sample is
+compared, so that the cost of a request does not depend on their number.
 """
 
 import random
@@ -14,16 +15,16 @@
 from daisypick_core.serving import outcomes as outcome_records
 from daisypick_router import discovery as discoveries
 
-# What a server in another data centre counts more, in parts of its slots that
-# we use. Below it our callers' requests stay near; with more of them under
-# way they spread.
-_AWAY_SHARE = 0.3
-# Servers that are compared at once, half of them near.
-_MOST_COMPARED = 32
+# Load added to a server in another data centre, as a fraction of its slots.
+# Requests stay in this data centre while its servers' load is lower than this
+# and spread to others above it.
+_REMOTE_PENALTY = 0.3
+# Servers compared per request, half of them from this data centre.
+_MAX_COMPARED = 32
 
 
 class PlainServers:
-    """Requests in flight by backend server."""
+    """Selects backend servers and counts this router's requests at them."""
 
     def __init__(
         self,
@@ -44,16 +45,16 @@
     def pick(
         self,
         service: fleet_configuration.Service,
-        tried: set[str],
+        tried_servers: set[str],
         now: float,
     ) -> backend_server.BackendServer | None:
-        """Return a server that was not tried, and count the request."""
-        candidates = self._find_untried(service, tried, now)
+        """Select a server that was not tried and count the request."""
+        candidates = self._find_untried(service, tried_servers, now)
         if not candidates:
             return None
         server = min(
             candidates,
-            key=lambda known: (self._weigh(known), self._rng.random()),
+            key=lambda candidate: (self._score(candidate), self._rng.random()),
         )
         self._cold.note(server.name, now)
         running = self._running_by_server.get(server.name, 0)
@@ -63,64 +64,66 @@
     def has_untried(
         self,
         service: fleet_configuration.Service,
-        tried: set[str],
+        tried_servers: set[str],
         now: float,
     ) -> bool:
-        """Tell whether a server that was not tried may get the request."""
-        return bool(self._find_untried(service, tried, now))
+        """Return whether a server that was not tried can take the request."""
+        return bool(self._find_untried(service, tried_servers, now))
 
     def _find_untried(
         self,
         service: fleet_configuration.Service,
-        tried: set[str],
+        tried_servers: set[str],
         now: float,
     ) -> list[backend_server.BackendServer]:
         candidates = self._find_candidates(
-            self._sample(service.name), service, tried, now
+            self._sample(service.name), service, tried_servers, now
         )
         if candidates:
             return candidates
         ready = self._discovery.directory.find_ready(service.name)
-        return self._find_candidates(ready, service, tried, now)
+        return self._find_candidates(ready, service, tried_servers, now)
 
     def _sample(self, service: str) -> list[backend_server.BackendServer]:
         """Return the servers to compare first."""
         directory = self._discovery.directory
         ready = directory.find_ready(service)
-        if len(ready) <= _MOST_COMPARED:
+        if len(ready) <= _MAX_COMPARED:
             return ready
-        near = directory.find_ready_in(service, self._data_centre)
-        half = _MOST_COMPARED // 2
-        if len(near) > half:
-            near = self._rng.sample(near, half)
-        return near + self._rng.sample(ready, half)
+        local_servers = directory.find_ready_in(service, self._data_centre)
+        half = _MAX_COMPARED // 2
+        if len(local_servers) > half:
+            local_servers = self._rng.sample(local_servers, half)
+        return local_servers + self._rng.sample(ready, half)
 
     def _find_candidates(
         self,
         servers: list[backend_server.BackendServer],
         service: fleet_configuration.Service,
-        tried: set[str],
+        tried_servers: set[str],
         now: float,
     ) -> list[backend_server.BackendServer]:
-        """Return which of the servers may get the request."""
-        ready = [server for server in servers if server.name not in tried]
-        sound = [
+        """Return those of the servers that can take the request."""
+        ready = [
+            server for server in servers if server.name not in tried_servers
+        ]
+        healthy = [
             server
             for server in ready
             if not self._outcomes.is_aside(server.name, now)
         ]
         return [
             server
-            for server in sound or ready
-            if self._bears(server, service, now)
+            for server in healthy or ready
+            if self._can_handle(server, service, now)
         ]
 
-    def _weigh(self, server: backend_server.BackendServer) -> float:
+    def _score(self, server: backend_server.BackendServer) -> float:
         used = self._running_by_server.get(server.name, 0) / server.slots
-        away = server.data_centre != self._data_centre
-        return used + _AWAY_SHARE * away
+        is_remote = server.data_centre != self._data_centre
+        return used + _REMOTE_PENALTY * is_remote
 
-    def _bears(
+    def _can_handle(
         self,
         server: backend_server.BackendServer,
         service: fleet_configuration.Service,
@@ -133,8 +136,8 @@
             return True
         return self._cold.allows(server.name, service.cold_rate, now)
 
-    def end(self, server: str) -> None:
-        """A request ended at a server."""
+    def note_end(self, server: str) -> None:
+        """Record that a request ended at a server."""
         running = self._running_by_server.get(server, 0) - 1
         if running > 0:
             self._running_by_server[server] = running
--- a/packages/daisypick_router/src/daisypick_router/plain_way.py
+++ b/packages/daisypick_router/src/daisypick_router/plain_way.py
@@ -1,7 +1,7 @@
-"""The way of a request to a plain service: tried, answered whole.
+"""Handles requests of plain services, with retries.
 
-The answer is held until it is whole, so a try that breaks off can be made
-again without the caller noticing, where a second run does no harm.
+A response is buffered until it is complete, so a try that fails midway can be
+repeated transparently to the caller if running the request twice is safe.
 """
 
 import time
@@ -18,13 +18,14 @@
 from daisypick_router import relay
 from daisypick_router import tries as try_rules
 
-# A safe request whose server is silent for this many objectives goes to
-# another one: the server hangs, or is so busy that the answer will be late.
-_SAFE_SILENCE_OBJECTIVES = 3.0
+# Timeout for the head of the response to a safe request, as a multiple of the
+# route's latency target. The request is then retried elsewhere: the server
+# hangs, or is so busy that its response would be late.
+_SAFE_TIMEOUT_OBJECTIVES = 3.0
 
 
 class PlainWay:
-    """Serves requests of plain services."""
+    """Handles requests of plain services."""
 
     def __init__(
         self,
@@ -42,91 +43,91 @@
         connection: http_server.CallerConnection,
         context: contexts.Context,
     ) -> failure.Failure | str:
-        """Answer a request; return a word on how, or the failure."""
-        held: relay.Whole | None = None
-        tried: try_rules.FailedTry | relay.Whole | None = None
-        while tried is None or self._tries.may_send_again(context, tried):
+        """Answer a request; return the outcome, or the failure."""
+        last_response: relay.WholeResponse | None = None
+        result: try_rules.FailedTry | relay.WholeResponse | None = None
+        while result is None or self._tries.may_retry(context, result):
             server = self._servers.pick(
-                context.service, context.tried, time.monotonic()
+                context.service, context.tried_servers, time.monotonic()
             )
             if server is None:
                 break
-            context.tried.add(server.name)
+            context.tried_servers.add(server.name)
             try:
-                tried = self._try(connection, context, server)
+                result = self._try(connection, context, server)
             finally:
-                self._servers.end(server.name)
-            if isinstance(tried, relay.Whole):
-                held = tried
-                if tried.head.status < 500:
+                self._servers.note_end(server.name)
+            if isinstance(result, relay.WholeResponse):
+                last_response = result
+                if result.head.status < 500:
                     self._tries.outcomes.note_success(server.name)
                     break
                 self._tries.outcomes.note_failure(server.name, time.monotonic())
             else:
-                self._tries.note_failed(context, server.name, tried)
-        if held is not None:
-            deliver(connection, held)
-            return f"answered_{held.head.status}"
-        return try_rules.conclude(context, tried)
+                self._tries.note_failed(context, server.name, result)
+        if last_response is not None:
+            send_response(connection, last_response)
+            return f"answered_{last_response.head.status}"
+        return try_rules.choose_failure(context, result)
 
     def _try(
         self,
         connection: http_server.CallerConnection,
         context: contexts.Context,
         server: backend_server.BackendServer,
-    ) -> try_rules.FailedTry | relay.Whole:
-        silence = context.deadline - time.monotonic()
-        if context.route.kind == route_table.SAFE and self._may_give_up(
+    ) -> try_rules.FailedTry | relay.WholeResponse:
+        head_timeout = context.deadline - time.monotonic()
+        if context.route.kind == route_table.SAFE and self._may_fail_over(
             context
         ):
-            patience = context.route.objective * _SAFE_SILENCE_OBJECTIVES
-            silence = min(silence, patience)
+            timeout = context.route.objective * _SAFE_TIMEOUT_OBJECTIVES
+            head_timeout = min(head_timeout, timeout)
         opened = exchange.open_exchange(
             self._pool,
             connection,
             context,
             server,
             last_event=None,
-            silence=silence,
+            head_timeout=head_timeout,
         )
         if isinstance(opened, exchange.NotRun):
-            context.arrivals += opened.arrived
+            context.servers_reached += opened.reached_server
             return opened
-        context.arrivals += 1
+        context.servers_reached += 1
         if isinstance(opened, exchange.Unknown):
             return opened
         return read_whole(self._pool, opened, context.deadline)
 
-    def _may_give_up(self, context: contexts.Context) -> bool:
-        """Tell whether another server could answer in place of the next."""
-        return self._tries.may_give_up(
-            context, arrivals=context.arrivals + 1
+    def _may_fail_over(self, context: contexts.Context) -> bool:
+        """Return whether another server is left if the next one times out."""
+        return self._tries.may_fail_over(
+            context, servers_reached=context.servers_reached + 1
         ) and self._servers.has_untried(
-            context.service, context.tried, time.monotonic()
+            context.service, context.tried_servers, time.monotonic()
         )
 
 
 def read_whole(
-    pool: pools.Pool, opened: exchange.Opened, deadline: float
-) -> relay.Whole | relay.Broken:
-    """Read an answer whole and give its connection back."""
-    answer = None
+    pool: pools.Pool, opened: exchange.OpenExchange, deadline: float
+) -> relay.WholeResponse | relay.Broken:
+    """Read a complete response and release its connection."""
+    response = None
     try:
-        answer = relay.read_whole(opened, deadline)
+        response = relay.read_whole(opened, deadline)
     finally:
-        if not isinstance(answer, relay.Whole):
+        if not isinstance(response, relay.WholeResponse):
             opened.connection.close()
-    if isinstance(answer, relay.Whole):
+    if isinstance(response, relay.WholeResponse):
         pool.give_back(opened.connection)
-    return answer
+    return response
 
 
-def deliver(
-    connection: http_server.CallerConnection, answer: relay.Whole
+def send_response(
+    connection: http_server.CallerConnection, response: relay.WholeResponse
 ) -> None:
-    """Send a server's whole answer to the caller as it is."""
+    """Relay a server's complete response to the caller."""
     connection.send_whole(
-        status=answer.head.status,
-        headers=messages.drop_per_connection(answer.head.headers),
-        body=answer.body,
+        status=response.head.status,
+        headers=messages.drop_per_connection(response.head.headers),
+        body=response.body,
     )
--- a/packages/daisypick_router/src/daisypick_router/relay.py
+++ b/packages/daisypick_router/src/daisypick_router/relay.py
@@ -1,4 +1,4 @@
-"""An answer of a backend server, read whole or event by event."""
+"""Reads a backend server's response, completely or event by event."""
 
 import time
 import typing
@@ -9,22 +9,24 @@
 from daisypick_router import exchange
 
 
-class Whole(typing.NamedTuple):
-    """A whole answer."""
+class WholeResponse(typing.NamedTuple):
+    """A complete response."""
 
     head: messages.AnswerHead
     body: bytes
 
 
 class Broken(typing.NamedTuple):
-    """The answer broke off."""
+    """The response ended before it was complete."""
 
     reason: str
-    silent: bool = False
+    timed_out: bool = False
 
 
-def read_whole(opened: exchange.Opened, deadline: float) -> Whole | Broken:
-    """Read an answer to its end; it is whole by its framing, or broken."""
+def read_whole(
+    opened: exchange.OpenExchange, deadline: float
+) -> WholeResponse | Broken:
+    """Read a response to its end, as given by its HTTP framing."""
     connection = opened.connection
     reader = connection.reader
     data = [reader.take_body()]
@@ -37,26 +39,26 @@
     except connections.ConnectionBrokeError as error:
         return Broken(reason=str(error))
     except connections.AnswerTimeoutError as error:
-        return Broken(reason=str(error), silent=True)
-    return Whole(head=opened.head, body=b"".join(data))
+        return Broken(reason=str(error), timed_out=True)
+    return WholeResponse(head=opened.head, body=b"".join(data))
 
 
-class Ended(typing.NamedTuple):
-    """The stream ended as its server meant it to."""
+class StreamEnded(typing.NamedTuple):
+    """The server ended the stream regularly."""
 
 
 class EventReader:
-    """Whole events of one server's stream."""
+    """Reads complete events from one server's stream."""
 
     def __init__(
-        self, *, opened: exchange.Opened, stream: event_stream.EventStream
+        self, *, opened: exchange.OpenExchange, stream: event_stream.EventStream
     ) -> None:
         self._connection = opened.connection
         self._stream = stream
         stream.restart()
 
-    def read(self, until: float) -> bytes | Ended | Broken:
-        """Return new whole events, the end, or why the stream broke off.
+    def read(self, until: float) -> bytes | StreamEnded | Broken:
+        """Return new complete events, the end, or why the stream failed.
 
         Waits until ``until`` for the next event.
         """
@@ -67,7 +69,7 @@
                 if events:
                     return events
                 if reader.complete:
-                    return self._judge_end()
+                    return self._classify_end()
                 if reader.broken:
                     return Broken(reason=reader.broken)
                 self._connection.read(until - time.monotonic())
@@ -76,9 +78,9 @@
         except connections.ConnectionBrokeError as error:
             return Broken(reason=str(error))
         except connections.AnswerTimeoutError as error:
-            return Broken(reason=str(error), silent=True)
+            return Broken(reason=str(error), timed_out=True)
 
-    def _judge_end(self) -> Ended | Broken:
+    def _classify_end(self) -> StreamEnded | Broken:
         if self._stream.rest:
             return Broken(reason="stream ended within an event")
-        return Ended()
+        return StreamEnded()
--- a/packages/daisypick_router/src/daisypick_router/serving.py
+++ b/packages/daisypick_router/src/daisypick_router/serving.py
@@ -1,9 +1,10 @@
-"""The way of a request, from its head to the last byte of its answer.
+"""Handles a caller's request, from its head to the end of the response.
 
-``identify`` finds the route, the organisation and the service. Then the
-request takes one of two ways: ``plain_way`` to a plain service, ``engine_way``
-to a model service. Either ends in an answer, a refusal that is true, or a cut
-connection; a log line tells which and why.
+``identify`` finds the route, the organisation and the service. Requests of
+plain services are then handled by ``plain_way`` and those of model services
+by ``engine_way``. Each request ends with a response, with a refusal that
+states correctly whether it ran, or with an aborted connection; the outcome
+and its reason are logged.
 """
 
 import random
@@ -24,15 +25,17 @@
 from daisypick_router import plain_way
 from daisypick_router import tries as try_rules
 
-# A process that stops begins nothing after this many seconds: what begins
-# later might not end before the process is killed, and would be cut.
-_BEGIN_SECONDS = 2.5
-# Another router takes the request at once; this is a connection's time.
-_RETRY_AFTER_STOPPING = 0.02
+# Seconds after the start of a graceful stop during which requests may still
+# start. Later ones might not finish before the process is killed and would be
+# cut off.
+_DRAIN_START_SECONDS = 2.5
+# Seconds. Another router can take the request at once, so callers only need
+# the time to open a new connection.
+_RETRY_AFTER_DRAINING = 0.02
 
 
 class Serving:
-    """Serves requests; one object a process."""
+    """Handles all callers' requests of a process."""
 
     def __init__(
         self,
@@ -61,7 +64,7 @@
 
     @property
     def running(self) -> int:
-        """How many requests are handled."""
+        """Number of requests being handled."""
         return len(self._context_by_connection)
 
     def handle(
@@ -69,11 +72,11 @@
         connection: http_server.CallerConnection,
         request: messages.Request,
     ) -> None:
-        """Serve one request of a caller."""
+        """Handle one request of a caller."""
         self._context_by_connection[connection] = None
         reason: str | None = None
         try:
-            if self._ends_connections():
+            if self._closes_connections():
                 connection.close_after_answer()
             reason = self._handle(connection, request)
         except BaseException as error:
@@ -87,11 +90,11 @@
                 )
 
     def note_dropped(self, request: messages.Request, reason: str) -> None:
-        """Log a whole request that ended with its connection, unhandled."""
+        """Log a complete request that was dropped with its connection."""
         self._log_unanswered(0, request, None, reason)
 
     def note_stopped(self) -> None:
-        """Log the requests that end with the process."""
+        """Log the requests that are cut off by the end of the process."""
         for connection, context in self._context_by_connection.items():
             if context is not None:
                 self._log_unanswered(
@@ -111,18 +114,18 @@
         self._metrics.count("requests_unanswered_total")
         self._log.write(
             "connection",
-            "Closed with a request unanswered.",
+            "Connection closed before the request was answered.",
             id=request_headers.read_caller(request.headers).attempt,
             reason=reason,
             stage=context.stage if context else "unhandled",
             exchanges=exchanges,
             route=context.route.name if context else None,
-            servers=sorted(context.tried) if context else [],
+            servers=sorted(context.tried_servers) if context else [],
             seconds=round(time.monotonic() - request.began_at, 4),
         )
 
-    def _ends_connections(self) -> bool:
-        """Tell whether callers should go on at another router."""
+    def _closes_connections(self) -> bool:
+        """Return whether callers should reconnect to another router."""
         return (
             self.stopping_since is not None
             or self._overload.ends_connections(time.monotonic())
@@ -133,46 +136,48 @@
         connection: http_server.CallerConnection,
         request: messages.Request,
     ) -> str | None:
-        """Answer a request; return why it failed, if it did."""
-        found = self._identify(request)
-        if failure.is_failure(found):
-            self._refuse(connection, None, found, request)
-            return found.reason
-        self._context_by_connection[connection] = found
-        self._tries.note_request(found.service.name)
-        way = self._plain if found.service.engine is None else self._engine
+        """Answer a request; return the reason if it failed."""
+        identified = self._identify(request)
+        if failure.is_failure(identified):
+            self._refuse(connection, None, identified, request)
+            return identified.reason
+        self._context_by_connection[connection] = identified
+        self._tries.note_request(identified.service.name)
+        handler = (
+            self._plain if identified.service.engine is None else self._engine
+        )
         try:
-            outcome = way.serve(connection, found)
+            outcome = handler.serve(connection, identified)
         except http_server.CallerLeft:
-            self._note_end(found, "caller_left")
+            self._note_end(identified, "caller_left")
             raise
         except OSError as error:
-            self._note_end(found, "caller_unreachable", reason=str(error))
+            self._note_end(identified, "caller_unreachable", reason=str(error))
             raise
         if failure.is_failure(outcome):
-            self._refuse(connection, found, outcome, request)
+            self._refuse(connection, identified, outcome, request)
             return outcome.reason
-        self._note_end(found, outcome)
+        self._note_end(identified, outcome)
         return None
 
     def _identify(
         self, request: messages.Request
     ) -> contexts.Context | failure.Failure:
-        if self._is_too_late_to_begin():
+        if self._is_too_late_to_start():
             return failure.Failure(
                 code=codes.DRAINING,
                 reason="the process stops",
-                retry_after=_RETRY_AFTER_STOPPING,
+                retry_after=_RETRY_AFTER_DRAINING,
             )
         return identify.identify(
             request, self._discovery.configuration, self._rng
         )
 
-    def _is_too_late_to_begin(self) -> bool:
+    def _is_too_late_to_start(self) -> bool:
         if self.stopping_since is None:
             return False
-        stopping = time.monotonic() - self.stopping_since
-        return stopping > _BEGIN_SECONDS
+        seconds_stopping = time.monotonic() - self.stopping_since
+        return seconds_stopping > _DRAIN_START_SECONDS
 
     def _note_end(
         self,
@@ -192,7 +197,7 @@
             route=context.route.name,
             version=context.version,
             organisation=context.organisation,
-            servers=sorted(context.tried),
+            servers=sorted(context.tried_servers),
             seconds=round(seconds, 4),
         )
 
@@ -200,48 +205,48 @@
         self,
         connection: http_server.CallerConnection,
         context: contexts.Context | None,
-        trouble: failure.Failure,
+        refusal: failure.Failure,
         request: messages.Request,
     ) -> None:
-        """Answer with a failure; cut an answer that has begun."""
+        """Send an error response, or abort a response that has started."""
         if context is not None:
             attempt = context.attempt
         else:
             attempt = request_headers.read_caller(request.headers).attempt
-        self._metrics.count("refusals_total", code=str(trouble.code.number))
+        self._metrics.count("refusals_total", code=str(refusal.code.number))
         self._log.write(
             "serve",
-            f"{trouble.code.title}.",
+            f"{refusal.code.title}.",
             id=attempt,
-            code=trouble.code.number,
-            status=trouble.code.status,
-            reason=trouble.reason,
-            retry_after=trouble.retry_after,
+            code=refusal.code.number,
+            status=refusal.code.status,
+            reason=refusal.reason,
+            retry_after=refusal.retry_after,
             cut=connection.answer_begun,
             route=context.route.name if context else None,
             version=context.version if context else None,
-            servers=sorted(context.tried) if context else [],
+            servers=sorted(context.tried_servers) if context else [],
             seconds=round(time.monotonic() - request.began_at, 4),
         )
         if connection.answer_begun:
             connection.abort()
             return
         connection.send_whole(
-            status=trouble.code.status,
-            headers=_write_headers(trouble),
-            body=_write_body(trouble),
+            status=refusal.code.status,
+            headers=_write_headers(refusal),
+            body=_write_body(refusal),
         )
 
 
-def _write_headers(trouble: failure.Failure) -> list[tuple[bytes, bytes]]:
+def _write_headers(refusal: failure.Failure) -> list[tuple[bytes, bytes]]:
     headers = [(b"Content-Type", b"application/problem+json")]
-    if trouble.retry_after is not None:
-        headers.append((b"Retry-After", b"%.2f" % trouble.retry_after))
+    if refusal.retry_after is not None:
+        headers.append((b"Retry-After", b"%.2f" % refusal.retry_after))
     return headers
 
 
-def _write_body(trouble: failure.Failure) -> bytes:
-    code = trouble.code
+def _write_body(refusal: failure.Failure) -> bytes:
+    code = refusal.code
     return b'{"code": %d, "title": "%b", "ran": "%b"}' % (
         code.number,
         code.title.encode(),
--- a/packages/daisypick_router/src/daisypick_router/tries.py
+++ b/packages/daisypick_router/src/daisypick_router/tries.py
@@ -1,8 +1,9 @@
-"""Whether a request may go to one more backend server, and what failed.
+"""Decides whether a failed request may be retried at another backend server.
 
-A request that surely did not run may always go elsewhere; one that may have
-run only if a second run does no harm. Either way the route bounds how many
-servers it reaches and the fleet's budget how many requests are sent again.
+A request that certainly did not run may always be retried; one that may have
+run only if running it twice is safe. In both cases the route limits how many
+servers the request reaches, and the fleet's retry budget limits the share of
+requests that are retried.
 """
 
 import time
@@ -17,15 +18,15 @@
 from daisypick_router import metrics as metric_numbers
 from daisypick_router import relay
 
-# When a caller whose request found no server may come back, in seconds: a
-# server that was replaced is back within about that time.
+# Seconds after which a caller may retry if no server was available; a server
+# that is being replaced is back within about that time.
 RETRY_AFTER = 0.4
 
 FailedTry = exchange.NotRun | exchange.Unknown | relay.Broken
 
 
 class Tries:
-    """Rules for tries, shared by both ways of a request."""
+    """Retry policy, shared by plain and model services."""
 
     def __init__(
         self,
@@ -41,37 +42,40 @@
         self._metrics = metrics
 
     def note_request(self, service: str) -> None:
-        """Count a caller's request towards the budget."""
+        """Count a caller's request towards the retry budget."""
         self._budget.note_request(service, time.monotonic())
 
-    def may_give_up(self, context: contexts.Context, *, arrivals: int) -> bool:
-        """Tell whether another server could get what a silent one has.
+    def may_fail_over(
+        self, context: contexts.Context, *, servers_reached: int
+    ) -> bool:
+        """Return whether a retry is allowed if the current server times out.
 
         Args:
             context: The request.
-            arrivals: Servers that it has reached, the silent one included.
+            servers_reached: Servers that received it, including the current
+                one.
         """
         return (
             context.may_run_again
-            and arrivals < context.route.max_attempts
+            and servers_reached < context.route.max_attempts
             and self._budget.allows(context.service.name, time.monotonic())
         )
 
-    def may_send_again(
-        self, context: contexts.Context, tried: FailedTry | relay.Whole
+    def may_retry(
+        self, context: contexts.Context, result: FailedTry | relay.WholeResponse
     ) -> bool:
-        """Tell whether one more server may get the request."""
-        if isinstance(tried, exchange.NotRun):
-            if tried.unsent:
+        """Return whether the request may be sent to one more server."""
+        if isinstance(result, exchange.NotRun):
+            if result.unsent:
                 return False
-            if not tried.arrived:
+            if not result.reached_server:
                 return time.monotonic() < context.deadline
         elif not context.may_run_again:
             return False
         now = time.monotonic()
         if now >= context.deadline:
             return False
-        if context.arrivals >= context.route.max_attempts:
+        if context.servers_reached >= context.route.max_attempts:
             return False
         allowed = self._budget.take(context.service.name, now)
         if not allowed:
@@ -81,38 +85,38 @@
         return allowed
 
     def note_failed(
-        self, context: contexts.Context, server: str, tried: FailedTry
+        self, context: contexts.Context, server: str, result: FailedTry
     ) -> None:
-        """Count and log a try that failed."""
-        not_run = isinstance(tried, exchange.NotRun)
+        """Count and log a failed try."""
+        not_run = isinstance(result, exchange.NotRun)
         if not not_run:
             context.may_have_run = True
-        if not (not_run and tried.unsent):
-            down = not_run and (tried.server_down or tried.misdirected)
+        if not (not_run and result.unsent):
+            down = not_run and (result.server_down or result.misdirected)
             self.outcomes.note_failure(server, time.monotonic(), certain=down)
-        self._metrics.count("failed_tries_total", kind=type(tried).__name__)
+        self._metrics.count("failed_tries_total", kind=type(result).__name__)
         self._log.write(
             "send",
-            "A try failed.",
+            "Request failed at a backend server.",
             id=context.attempt,
             server=server,
             ran="no" if not_run else "unknown",
-            reason=tried.reason,
-            arrivals=context.arrivals,
+            reason=result.reason,
+            arrivals=context.servers_reached,
         )
 
 
-def conclude(
-    context: contexts.Context, tried: FailedTry | None
+def choose_failure(
+    context: contexts.Context, result: FailedTry | None
 ) -> failure.Failure:
-    """Return what the caller is told when no try is left."""
-    reason = tried.reason if tried else f"service {context.service.name}"
+    """Return the failure to report when the request cannot be retried."""
+    reason = result.reason if result else f"service {context.service.name}"
     if time.monotonic() >= context.deadline:
         code = codes.TIMED_OUT if context.may_have_run else codes.TOO_LATE
         return failure.Failure(code=code, reason=reason)
     if context.may_have_run:
         return failure.Failure(code=codes.ANSWER_BROKEN, reason=reason)
-    if isinstance(tried, exchange.NotRun) and tried.unsent:
+    if isinstance(result, exchange.NotRun) and result.unsent:
         return failure.Failure(
             code=codes.NO_DESCRIPTORS, reason=reason, retry_after=RETRY_AFTER
         )
--- a/packages/daisypick_router/tests/test_placing.py
+++ b/packages/daisypick_router/tests/test_placing.py
@@ -1,4 +1,4 @@
-"""Starts decided by one router for all, and alone when it is silent."""
+"""Placement by one router for all, and by each if that one fails."""
 
 import random
 import socket
@@ -25,7 +25,7 @@
 
 
 def _start_fleet(store, servers, names=("r-1", "r-2", "r-3")):
-    """Return the routers by name, each connected to the host."""
+    """Return the routers by name, connected to the host, and the host."""
     for server in servers:
         store.put("servers", server.name, server.describe())
     routers = {name: fakes.start_router(store, name) for name in names}
@@ -49,11 +49,11 @@
     ]
 
 
-def test_one_router_decides_for_all(store):
+def test_one_router_places_the_requests_of_all(store):
     """Three routers get requests with the same prompt.
 
-    Each alone would read it at an engine of its own choice; the one that
-    decides for all knows which engine keeps it and sends all there.
+    Each on its own would choose a different engine. The scheduler host knows
+    which engine has the prompt in its KV cache and places all requests there.
     """
     servers = _engines(3)
     routers, _ = _start_fleet(store, servers)
@@ -64,40 +64,40 @@
     assert sorted(len(server.requests) for server in servers) == [0, 0, 12]
 
 
-def test_router_decides_alone_while_the_host_is_silent(store):
-    """The host of a service freezes; its connections stay open.
+def test_router_places_locally_while_the_host_hangs(store):
+    """The host of a service hangs; its connections stay open.
 
-    A caller of another router waits a quarter of a second at the most, and
-    then its router starts the request by itself.
+    A caller of another router waits a quarter of a second at most; then its
+    router places the request itself.
     """
     routers, host = _start_fleet(store, _engines(2))
-    asker = next(name for name in routers if name != host)
+    requester = next(name for name in routers if name != host)
     frozen = routers[host].peer_host
     frozen.take = lambda channel, message: None
     began = time.monotonic()
-    answer = fakes.call(routers[asker], "/ask/1")
+    answer = fakes.call(routers[requester], "/ask/1")
     assert answer.served
     assert time.monotonic() - began < 0.6
-    assert routers[asker].placing.find_host("assist") != host
+    assert routers[requester].placing.find_host("assist") != host
 
 
-def test_host_that_stops_hands_over_at_once(store):
-    """The host is told to stop while a caller's long answer keeps it alive.
+def test_stopping_host_hands_over_at_once(store):
+    """The host stops while a long response keeps its process alive.
 
-    Routers that hear of it late go on asking it, others ask the next host,
-    and the two fill the same engines. All ask the next host within moments,
-    and that one knows what runs.
+    If some routers still used it and others the next host, both would fill
+    the same engines. All routers switch to the next host within half a second,
+    and that one knows the running requests.
     """
     gate = gevent.event.Event()
 
-    def _stay(server, connection, first, headers, body):
+    def _stream_until_released(server, connection, first, headers, body):
         fakes.begin_stream(server, connection, headers)
         fakes.send_events(connection, [1])
         gate.wait(5.0)
         fakes.end_stream(connection)
 
     routers, host = _start_fleet(
-        store, [fakes.FakeServer("e-1", "assist", _stay)]
+        store, [fakes.FakeServer("e-1", "assist", _stream_until_released)]
     )
     order = hosts.order_hosts("assist", dict.fromkeys(routers, 1.0))
     with fakes.connect(routers[host]) as caller:
@@ -119,11 +119,11 @@
         gate.set()
 
 
-def test_router_knows_a_host_after_two_have_stopped(store):
-    """Routers are replaced one after the other, the host and then the next.
+def test_router_finds_a_host_after_two_have_stopped(store):
+    """Routers are replaced one by one, first the host and then the next host.
 
-    Those that kept connections to these two only would decide alone, each
-    with its small part, until they read the list of routers again.
+    Routers connected to only these two would place locally, each with its
+    small share, until they read the list of routers again.
     """
     names = ("r-1", "r-2", "r-3", "r-4")
     routers, _ = _start_fleet(store, _engines(1), names=names)
@@ -139,84 +139,85 @@
             )
 
 
-def test_host_that_is_cut_off_from_the_list_does_not_open_a_closed_server(
-    store,
-):
-    """The host does not hear that a server drains; the asker does.
+def test_host_with_stale_server_list_does_not_use_a_draining_server(store):
+    """The host does not know that a server is draining; another router does.
 
-    What the asker knows to be closed goes with its question, so nothing
-    reaches the leaving server through it, and one question is enough.
+    That router sends the unavailable servers with its placement request, so
+    none of its requests reach the draining server and one placement request
+    each is enough.
     """
     servers = _engines(2)
     routers, host = _start_fleet(store, servers)
-    deaf = routers[host].discovery.directory
-    asker = next(name for name in routers if name != host)
-    hearing = routers[asker].discovery.directory
-    entry = deaf.server_by_name["e-0"]
-    hearing.put(entry._replace(draining=True))
-    asked = []
+    host_directory = routers[host].discovery.directory
+    requester = next(name for name in routers if name != host)
+    requester_directory = routers[requester].discovery.directory
+    entry = host_directory.server_by_name["e-0"]
+    requester_directory.put(entry._replace(draining=True))
+    submitted = []
     peer_host = routers[host].peer_host
     take = peer_host.take
 
     def _count(channel, message):
-        asked.append(type(message))
+        submitted.append(type(message))
         take(channel, message)
 
     peer_host.take = _count
     for turn in range(6):
-        assert fakes.call(routers[asker], "/ask/1", attempt=f"a-{turn}").served
+        assert fakes.call(
+            routers[requester], "/ask/1", attempt=f"a-{turn}"
+        ).served
     assert servers[0].requests == []
     assert len(servers[1].requests) == 6
-    assert asked.count(peer_messages.Submit) == 6
+    assert submitted.count(peer_messages.Submit) == 6
 
 
-def test_caller_that_leaves_while_waiting_starts_nothing(store):
-    """All engines are full, a caller waits at the host and leaves.
+def test_request_of_a_disconnected_caller_is_not_started(store):
+    """All engines are full; a caller disconnects while its request waits.
 
-    Its request must not start later, when an engine has room.
+    The request must not be started later, when an engine has capacity.
     """
     gate = gevent.event.Event()
 
-    def _hold(server, connection, first, headers, body):
+    def _stream_until_released(server, connection, first, headers, body):
         fakes.begin_stream(server, connection, headers)
         fakes.send_events(connection, [1])
         gate.wait(3.0)
         fakes.end_stream(connection)
 
-    server = fakes.FakeServer("e-0", "assist", _hold)
+    server = fakes.FakeServer("e-0", "assist", _stream_until_released)
     store.put("servers", "e-0", server.describe(Slots=1))
     routers, host = _start_fleet(store, [])
-    asker = next(name for name in routers if name != host)
+    requester = next(name for name in routers if name != host)
     fakes.wait_for(lambda: routers[host].discovery.directory.server_by_name)
-    with fakes.connect(routers[asker]) as first:
+    with fakes.connect(routers[requester]) as first:
         first.sendall(fakes.write_request("/ask/1", attempt="a-1"))
         fakes.wait_for(lambda: server.requests)
-        with fakes.connect(routers[asker]) as second:
+        with fakes.connect(routers[requester]) as second:
             second.sendall(fakes.write_request("/ask/1", attempt="a-2"))
-            fakes.wait_for(lambda: routers[asker].serving.running == 2)
+            fakes.wait_for(lambda: routers[requester].serving.running == 2)
             gevent.sleep(0.02)
-        fakes.wait_for(lambda: routers[asker].serving.running == 1)
+        fakes.wait_for(lambda: routers[requester].serving.running == 1)
         gate.set()
         assert fakes.read_answer(first).served
     gevent.sleep(0.05)
     assert [seen["daisypick-attempt-id"] for seen in server.requests] == ["a-1"]
-    assert fakes.call(routers[asker], "/ask/1", attempt="a-3").served
+    assert fakes.call(routers[requester], "/ask/1", attempt="a-3").served
 
 
-def test_new_host_learns_what_engines_keep(store):
-    """The host goes; the next one is told what ran lately and where.
+def test_new_host_learns_what_engines_have_cached(store):
+    """The host stops; the next one receives recent placements.
 
-    A prompt that an engine keeps is not read by another one after that, here
-    by one that came later and stands first in the list.
+    A prompt that is in one engine's KV cache is then not processed by another
+    engine, here by one that was added later and is first in the list.
     """
     servers = _engines(3)
     routers, host = _start_fleet(store, servers[1:])
-    askers = [name for name in routers if name != host]
-    _, primer = hosts.order_hosts("assist", dict.fromkeys(askers, 1.0))
+    others = [name for name in routers if name != host]
+    _, primer = hosts.order_hosts("assist", dict.fromkeys(others, 1.0))
     for turn in range(2):
         fakes.call(routers[primer], "/ask/1", attempt=f"a-{turn}")
     store.put("servers", "e-0", servers[0].describe())
-    for name in askers:
+    for name in others:
         fakes.wait_for(
             lambda known=name: (
                 "e-0" in routers[known].discovery.directory.server_by_name
@@ -224,52 +225,54 @@
         )
     routers[host].begin_stop()
     fakes.wait_for(
-        lambda: store.objects["daisypick-routers"].keys() == set(askers)
+        lambda: store.objects["daisypick-routers"].keys() == set(others)
     )
-    for name in askers:
+    for name in others:
         fakes.wait_for(
             lambda known=name: (
-                routers[known].placing.find_host("assist") in askers
+                routers[known].placing.find_host("assist") in others
             )
         )
     gevent.sleep(0.1)
     for turn in range(3):
-        for name in askers:
+        for name in others:
             fakes.call(routers[name], "/ask/1", attempt=f"{name}-{turn}")
     assert sorted(len(server.requests) for server in servers) == [0, 0, 8]
 
 
-def test_router_keeps_to_its_part_of_a_cold_server_whoever_decides(store):
-    """A host that has just begun grants a start at a cold server.
+def test_router_enforces_its_own_quota_of_a_cold_server(store):
+    """A new host places a request at a cold server.
 
-    It does not know that this router has already sent there what its part
-    allows. The router declines and sends the request elsewhere.
+    It does not know that this router has already used up its quota there. The
+    router declines and sends the request elsewhere.
     """
     cold, warm = _engines(2)
     routers, host = _start_fleet(store, [warm])
-    asker = next(name for name in routers if name != host)
+    requester = next(name for name in routers if name != host)
     store.put("servers", "e-0", cold.describe(ColdLeftMs=60000))
     for router in routers.values():
         directory = router.discovery.directory
         fakes.wait_for(lambda known=directory: "e-0" in known.server_by_name)
-    alone = routers[asker].placing.alone
-    service = routers[asker].discovery.configuration.service_by_name["assist"]
+    alone = routers[requester].placing.alone
+    service = routers[requester].discovery.configuration.service_by_name[
+        "assist"
+    ]
     scheduler = alone.find_scheduler(service)
     for turn in range(4):
-        # What was sent counts for about a second; a busy machine may take
-        # longer than that for all turns.
-        while alone.bears(service, asker, "e-0"):
-            scheduler.note_sent(asker, "e-0", time.monotonic())
-        answer = fakes.call(routers[asker], "/ask/1", attempt=f"a-{turn}")
+        # Sent requests count for about a second; all turns may take longer
+        # than that on a busy machine.
+        while alone.can_handle(service, requester, "e-0"):
+            scheduler.note_sent(requester, "e-0", time.monotonic())
+        answer = fakes.call(routers[requester], "/ask/1", attempt=f"a-{turn}")
         assert answer.served
     assert cold.requests == []
 
 
-def test_data_centre_that_is_back_gets_only_what_cold_servers_bear(store):
-    """Thirty requests rush to a data centre that has just been taken back.
+def test_data_centre_back_in_service_gets_at_most_the_cold_rate(store):
+    """Thirty requests arrive for a data centre that is just back in service.
 
-    Its only engine's entry still says that it is warm. It bears 20 requests
-    a second when cold, from one router here, and gets no more.
+    The entry of its only engine still says that it is warm. A cold engine can
+    handle 20 requests a second, here from one router, and gets no more.
     """
     engine = fakes.FakeServer("e-0", "assist", fakes.stream_five)
     store.put("evacuations", "a", {})
@@ -286,8 +289,8 @@
     ]
     gevent.joinall(calls)
     statuses = sorted(call.value.status for call in calls)
-    # On a busy machine the rush may take longer than a second, and then one
-    # more request or another is within the rate.
+    # On a busy machine sending all may take longer than a second, and then a
+    # few more requests are within the rate.
     most = max(
         sum(begin <= at < begin + 1.0 for at in engine.times)
         for begin in engine.times
@@ -297,21 +300,23 @@
     assert statuses == [200] * served + [503] * (30 - served)
 
 
-def test_flood_that_was_refused_is_refused_unasked_for_a_moment(store):
-    """One organisation's flood was refused because too many of it wait.
+def test_refused_organisation_is_refused_locally_for_a_pause(store):
+    """An organisation was refused because too many of its requests wait.
 
-    Its next requests are refused by the router itself, with a time to come
-    back and without a question to the host, until the pause is over.
+    The router refuses its next requests itself, with a retry time and without
+    a placement request to the host, until the pause is over.
     """
     routers, host = _start_fleet(store, _engines(1))
-    asker = next(name for name in routers if name != host)
-    placing = routers[asker].placing
-    service = routers[asker].discovery.configuration.service_by_name["assist"]
+    requester = next(name for name in routers if name != host)
+    placing = routers[requester].placing
+    service = routers[requester].discovery.configuration.service_by_name[
+        "assist"
+    ]
     work = _make_job("k-1", arrived_at=time.monotonic())
-    asked = []
+    submitted = []
 
     def _refuse(service, work):
-        asked.append(work.key)
+        submitted.append(work.key)
         return actions.Refuse(
             key=work.key, retry_after=0.5, reason="flood", pause=0.2
         )
@@ -325,14 +330,14 @@
     placing.acquire(service, other)
     later = work._replace(key="k-4", arrived_at=work.arrived_at + 0.3)
     placing.acquire(service, later)
-    assert asked == ["k-1", "k-3", "k-4"]
+    assert submitted == ["k-1", "k-3", "k-4"]
 
 
-def test_router_with_the_most_processor_hosts(store):
-    """A small VM hosts a service, and its own callers wait for it.
+def test_router_with_the_most_cpu_capacity_is_host(store):
+    """Guards against a small VM as host, whose own callers would be slow.
 
-    The host decides for the whole service beside its callers, so the router
-    with the most processor is the one that all ask.
+    The host schedules the whole service besides serving its callers, so all
+    routers choose the one with the most CPU capacity.
     """
     for server in _engines(1):
         store.put("servers", server.name, server.describe())
@@ -349,88 +354,87 @@
         )
 
 
-def test_host_learns_of_ends_that_it_did_not_hear(store):
+def test_reconnected_router_reports_requests_that_ended_meanwhile(store):
     """A router's connection to the host breaks while a request runs.
 
-    The request ends meanwhile, and so many more that it is no longer among
-    the remembered ones. The host would take its place at the engine for taken
-    until the caller's deadline; it learns of the end as soon as the router is
-    connected again.
+    The request ends meanwhile and is no longer among the recent placements.
+    The host would consider its slot occupied until the caller's deadline; it
+    learns of the end as soon as the router has reconnected.
     """
     gate = gevent.event.Event()
 
-    def _hold(server, connection, first, headers, body):
+    def _stream_until_released(server, connection, first, headers, body):
         fakes.begin_stream(server, connection, headers)
         fakes.send_events(connection, [1])
         gate.wait(5.0)
         fakes.end_stream(connection)
 
-    server = fakes.FakeServer("e-0", "assist", _hold)
+    server = fakes.FakeServer("e-0", "assist", _stream_until_released)
     routers, host = _start_fleet(store, [server])
-    asker = next(name for name in routers if name != host)
-    link = routers[asker].placing.links.find_link(host)
+    requester = next(name for name in routers if name != host)
+    link = routers[requester].placing.links.find_link(host)
     hosted = routers[host].placing._hosted
 
     def _count_running():
         engines = hosted.describe("assist")["engines"]
         return sum(engine["running"] for engine in engines)
 
-    call = gevent.spawn(fakes.call, routers[asker], "/ask/1")
+    call = gevent.spawn(fakes.call, routers[requester], "/ask/1")
     fakes.wait_for(lambda: _count_running() == 1)
     connect, link._connect = link._connect, lambda: None
     link._channel.close()
     gate.set()
     assert call.get().served
     assert _count_running() == 1
-    routers[asker].placing._placed_by_service.clear()
+    routers[requester].placing._placements_by_service.clear()
     link._connect = connect
     fakes.wait_for(lambda: _count_running() == 0, 0.9)
 
 
-def test_host_forgets_a_router_that_does_not_come_back(store):
+def test_host_frees_the_slots_of_a_router_that_was_killed(store):
     """A router is killed while its request runs at an engine.
 
-    Its connection to the engine ended with it. A second later the host takes
-    that place for free.
+    Its connection to the engine was closed with it. A second later the host
+    considers the slot free.
     """
 
-    def _hold(server, connection, first, headers, body):
+    def _stream_and_hang(server, connection, first, headers, body):
         fakes.begin_stream(server, connection, headers)
         fakes.send_events(connection, [1])
         gevent.sleep(5.0)
 
-    server = fakes.FakeServer("e-0", "assist", _hold)
+    server = fakes.FakeServer("e-0", "assist", _stream_and_hang)
     routers, host = _start_fleet(store, [server])
-    asker = next(name for name in routers if name != host)
+    requester = next(name for name in routers if name != host)
     hosted = routers[host].placing._hosted
-    with fakes.connect(routers[asker]) as caller:
+    with fakes.connect(routers[requester]) as caller:
         caller.sendall(fakes.write_request("/ask/1", attempt="a-1"))
         fakes.wait_for(
             lambda: hosted.describe("assist")["engines"][0]["running"] == 1
         )
-        routers[asker].placing.links.find_link(host).stop()
+        routers[requester].placing.links.find_link(host).stop()
         fakes.wait_for(
             lambda: hosted.describe("assist")["engines"][0]["running"] == 0,
             2.0,
         )
 
 
-def test_router_that_stalled_does_not_take_its_host_for_silent(store):
-    """A small VM is busy for half a second while requests wait at the host.
+def test_stalled_router_does_not_time_out_its_host(store):
+    """A small VM is busy for 0.4 s while requests wait at the host.
 
-    The host's heartbeats lie unread meanwhile. The router must read them
-    before it judges, or it would drop the link and decide alone.
+    The host's heartbeats are unread meanwhile. The router must read them
+    before it checks the timeout, or it would close the link and place locally.
     """
     routers, host = _start_fleet(store, _engines(1))
-    asker = next(name for name in routers if name != host)
-    link = routers[asker].placing.links.find_link(host)
+    requester = next(name for name in routers if name != host)
+    link = routers[requester].placing.links.find_link(host)
     channel = link._channel
-    heard = []
-    link._deliver_by_key["a-1"] = heard.append
+    received = []
+    link._deliver_by_key["a-1"] = received.append
     link._asked_at = time.monotonic()
     time.sleep(0.4)
     gevent.sleep(0.02)
-    assert heard == []
+    assert received == []
     assert not channel.closed
     link.forget("a-1")
 
@@ -449,11 +453,11 @@
     )
 
 
-def test_sums_by_organisation_do_not_pile_up(store):
-    """Guards against memory that grows with every organisation that asks.
+def test_tallies_by_organisation_do_not_grow(store):
+    """Guards against memory that grows with every organisation.
 
-    Only the host's sums are logged; those of a router's own scheduler for
-    times without a host were kept for good.
+    Only the host's tallies are logged; those of a router's local scheduler,
+    used while there is no host, were never cleared.
     """
     routers, _ = _start_fleet(store, _engines(1))
     for name, router in routers.items():
@@ -467,8 +471,8 @@
 
 
 @pytest.fixture
-def asked():
-    """A link on which a question waits, and the host's end of it."""
+def pending_link():
+    """A link with a pending placement request, and the host's end of it."""
     listener = socket.create_server(("127.0.0.1", 0))
     link = peer_link.PeerLink(
         name="r-2",
@@ -495,20 +499,20 @@
 
 
 def _watch_for(link, seconds):
-    """Let a link judge its host now, and that much later."""
+    """Check a link's timeout now and that many seconds later."""
     now = time.monotonic()
     link.watch_silence(now)
     link.watch_silence(now + seconds)
 
 
-def test_host_whose_words_lie_unread_is_not_silent(asked):
-    """Guards against giving up a host that answered in time (FAIR).
+def test_host_with_unread_messages_is_not_timed_out(pending_link):
+    """Guards against timing out a host that responded in time (FAIR).
 
-    The loop of a flooded VM gets to its watch of silent hosts before it gets
-    to what they said. It closed the connection, and all that waited on it
-    was asked for again or decided alone.
+    The loop of an overloaded VM runs the timeout check before it reads the
+    host's messages. It closed the connection, and all requests that waited on
+    it were submitted again or placed locally.
     """
-    link, host = asked
+    link, host = pending_link
     gevent.sleep(0.02)
     host.sendall(b'["beat",1]\n')
     _watch_for(link, 1.0)
@@ -518,15 +522,14 @@
     assert not link.is_connected
 
 
-def test_host_that_was_not_asked_yet_is_not_silent(asked):
-    """Guards against giving up a host before it was asked (FAIR).
+def test_host_is_not_timed_out_before_the_request_is_sent(pending_link):
+    """Guards against timing out a host before it got a request (FAIR).
 
-    A question waits for its turn in a late loop before it is sent. The host
-    knows of nothing and says nothing; its silence counted from when the
-    question was made, and a flooded router closed the connection seven times
-    in nine seconds ("A host of schedulers is silent.").
+    A placement request is queued in a lagging loop before it is sent. Its
+    timeout counted from when it was queued, so an overloaded router closed the
+    connection seven times in nine seconds.
     """
-    link, _ = asked
+    link, _ = pending_link
     _watch_for(link, 1.0)
     assert link.is_connected
     gevent.sleep(0.02)
