--- a/packages/daisypick_router/tests/conftest.py
+++ b/packages/daisypick_router/tests/conftest.py
@@ -9,11 +9,11 @@
 
 @pytest.fixture(autouse=True)
 def _end_routers():
-    """End what a test has started, in its own process.
+    """Stop servers and greenlets that a test has started.
 
-    Routers of earlier tests went on: they renewed their entries, looked for
-    stores that were gone and took the processor from the tests after them,
-    which then missed their bounds on a busy machine.
+    Routers left over from earlier tests would keep renewing their entries and
+    reconnecting to stores that are gone. On a busy machine the CPU time this
+    takes makes later tests exceed their time limits.
     """
     yield
     for found in gc.get_objects():
--- a/packages/daisypick_router/tests/fakes.py
+++ b/packages/daisypick_router/tests/fakes.py
@@ -1,7 +1,7 @@
-"""Stand-ins of the platform's store and of its backend servers.
+"""Fakes of the platform's store and of backend servers.
 
-They speak the platform's published protocol over loopback, as far as the
-tests need it, and do nothing that they were not told to do.
+They implement the platform's published protocol over the loopback, as far as
+the tests need it.
 """
 
 import collections
@@ -31,12 +31,12 @@
     data = b""
     while b"\r\n\r\n" not in data:
         try:
-            piece = connection.recv(65536)
+            chunk = connection.recv(65536)
         except OSError:
             return None
-        if not piece:
+        if not chunk:
             return None
-        data += piece
+        data += chunk
     head, _, body = data.partition(b"\r\n\r\n")
     first, *lines = head.split(b"\r\n")
     headers = {}
@@ -53,7 +53,7 @@
 
 
 class FakeStore:
-    """Objects by kind and name, with lists, watches and outages."""
+    """A store of objects by kind and name, with lists, watches and outages."""
 
     def __init__(self) -> None:
         self.revision = 1
@@ -63,7 +63,7 @@
         self.down = False
         self.silent = False
         self.page = 500
-        # Told in answers once it is above 0.
+        # Sent as a response header if it is above 0.
         self.era = 0
         self.server = gevent_server.StreamServer(("127.0.0.1", 0), self._serve)
         self.server.start()
@@ -99,13 +99,13 @@
         return self.revision, objects, list(self.events)
 
     def restore(self, copied: tuple[int, dict, list]) -> None:
-        """Come back from a copy; watches that wait are cut."""
+        """Restore the state from a copy; pending watches are disconnected."""
         self.revision, self.objects, self.events = copied
         self.era += 1
         self._wake()
 
     def refuse(self) -> None:
-        """Answer 503 from now on, also to the watches that wait."""
+        """Respond with 503 from now on, and end pending watches."""
         self.down = True
         self._wake()
 
@@ -187,9 +187,10 @@
 
 
 class FakeServer:
-    """A backend server that does with each request what a script says.
+    """A backend server whose responses are written by a script.
 
-    ``script(server, connection, first, headers, body)`` answers.
+    ``script(server, connection, first, headers, body)`` is called for each
+    request; if it returns ``"close"``, the connection is closed.
     """
 
     def __init__(
@@ -243,7 +244,7 @@
 
 
 def answer_ok(server, connection, first, headers, body) -> None:
-    """Answer well."""
+    """Send a successful response."""
     connection.sendall(
         write_answer(
             200,
@@ -257,7 +258,7 @@
 
 
 def shed(server, connection, first, headers, body) -> None:
-    """Turn the request away, unrun."""
+    """Reject the request without running it."""
     connection.sendall(
         write_answer(
             503,
@@ -290,12 +291,12 @@
 
 
 def end_stream(connection) -> None:
-    """End a stream as whole."""
+    """End a stream regularly."""
     connection.sendall(b"0\r\n\r\n")
 
 
 def stream_five(server, connection, first, headers, body) -> None:
-    """Stream the events 1 to 5, or what is left of them."""
+    """Stream the events 1 to 5, or those after the last event id."""
     begin_stream(server, connection, headers)
     after = int(headers.get("last-event-id", "0"))
     send_events(connection, range(after + 1, 6))
@@ -303,7 +304,7 @@
 
 
 def make_manifest(version: int = 1, **changes: object) -> dict:
-    """Return a configuration with a route of each kind."""
+    """Return a configuration with one route of each kind."""
     common = {
         "Host": HOST,
         "Priority": 1,
@@ -353,7 +354,7 @@
 
 
 _port_numbers = itertools.cycle(range(20_000, 30_000))
-# Test processes that run at once begin at different ports.
+# Concurrent test processes start at different ports.
 collections.deque(
     itertools.islice(_port_numbers, os.getpid() * 97 % 10_000), maxlen=0
 )
@@ -362,9 +363,9 @@
 def find_port() -> int:
     """Return a free port of the loopback address.
 
-    It lies outside the range from which the kernel takes ports of outgoing
-    connections: one of those took a port of that range between the look and
-    the use, and a router could not listen.
+    It is outside the ephemeral port range. An outgoing connection could take
+    a port of that range between the check and its use, and the router could
+    not listen.
     """
     while True:
         port = next(_port_numbers)
@@ -418,26 +419,26 @@
 
 
 def wait_for(condition: Callable[[], object], seconds: float = 3.0) -> None:
-    """Wait for a condition.
+    """Wait until a condition is true.
 
     Raises:
-        AssertionError: It did not come true.
+        AssertionError: The condition did not become true in time.
     """
     until = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < until, "condition did not come true"
+        assert time.monotonic() < until, "condition did not become true in time"
         gevent.sleep(0.005)
 
 
 def connect(router: process.RouterProcess) -> socket.socket:
-    """Return a caller's connection."""
+    """Open a caller's connection to a router."""
     return socket.create_connection(router.settings.caller_address, timeout=5.0)
 
 
 def write_request(
     path: str, *, attempt: str = "a-1", method: str = "POST", **headers: str
 ) -> bytes:
-    """Return a caller's request."""
+    """Return a caller's request as bytes."""
     lines = [
         f"{method} {path} HTTP/1.1",
         f"Host: {HOST}",
--- a/packages/daisypick_router/tests/test_fleet_size.py
+++ b/packages/daisypick_router/tests/test_fleet_size.py
@@ -1,4 +1,4 @@
-"""What a router spends does not grow with the fleet before it."""
+"""A router's cost per event does not grow with the fleet."""
 
 import fakes
 import pytest
@@ -17,11 +17,11 @@
     found.server.stop()
 
 
-def test_change_of_one_server_costs_no_look_at_all_others(store, monkeypatch):
-    """Guards against routers that are busy with the list of servers only.
+def test_change_of_one_server_does_not_check_all_others(store, monkeypatch):
+    """Guards against routers that are fully busy with server updates.
 
-    Each of 1,000 entries that changed made every router go through all of
-    them, 2 s of its processor at the start, and 21 s before 3,000.
+    Each changed entry made every router iterate over all of them: at start-up
+    2 s of CPU time with 1,000 servers and 21 s with 3,000.
     """
     engine = fakes.FakeServer("e-0", "assist", fakes.stream_five)
     for number in range(_SERVERS):
@@ -29,51 +29,53 @@
     router = fakes.start_router(store, "r-1")
     directory = router.discovery.directory
     fakes.wait_for(lambda: len(directory.find_ready("assist")) == _SERVERS)
-    looks = 0
+    checks = 0
     may_get_work = directories.Directory.may_get_work
 
     def _count(known, server):
-        nonlocal looks
-        looks += 1
+        nonlocal checks
+        checks += 1
         return may_get_work(known, server)
 
     monkeypatch.setattr(directories.Directory, "may_get_work", _count)
     store.put("servers", "e-7", engine.describe(Slots=5))
     fakes.wait_for(lambda: directory.server_by_name["e-7"].slots == 5)
-    fakes.wait_for(lambda: looks > 0)
-    assert looks < 10
+    fakes.wait_for(lambda: checks > 0)
+    assert checks < 10
     store.put("servers", "e-8", engine.describe(State="draining"))
     fakes.wait_for(lambda: directory.server_by_name["e-8"].draining)
     assert len(directory.find_ready("assist")) == _SERVERS - 1
 
 
-def test_request_to_a_plain_service_compares_some_servers(store, monkeypatch):
-    """Guards against a request that costs as much as its service is large."""
+def test_request_to_a_plain_service_compares_a_sample_of_servers(
+    store, monkeypatch
+):
+    """Guards against a cost per request that grows with the service."""
     desk = fakes.FakeServer("d-0", "desk", fakes.answer_ok)
     for number in range(_SERVERS):
         store.put("servers", f"d-{number}", desk.describe())
     router = fakes.start_router(store, "r-1")
     directory = router.discovery.directory
     fakes.wait_for(lambda: len(directory.find_ready("desk")) == _SERVERS)
-    looks = 0
+    checks = 0
     is_aside = outcomes.Outcomes.is_aside
 
     def _count(known, server, now):
-        nonlocal looks
-        looks += 1
+        nonlocal checks
+        checks += 1
         return is_aside(known, server, now)
 
     monkeypatch.setattr(outcomes.Outcomes, "is_aside", _count)
     fakes.call(router, "/look/1")
-    assert 0 < looks <= 3 * 32
+    assert 0 < checks <= 3 * 32
 
 
-def test_long_list_is_read_though_some_of_its_calls_are_refused(store):
-    """Guards against routers that never know any server after a restart.
+def test_list_of_many_pages_is_read_despite_refused_calls(store):
+    """Guards against routers that never get a server list after a restart.
 
-    All routers of a large fleet start at once and read a list of dozens of
-    pages each, more calls than the store takes; it refuses some. One refused
-    page made a router begin at the first one.
+    All routers of a large fleet start at once and each read a list of dozens
+    of pages. The store refuses some of these calls. A router that restarts at
+    the first page after each refusal never finishes.
     """
     engine = fakes.FakeServer("e-0", "assist", fakes.stream_five)
     store.page = 10
--- a/packages/daisypick_router/tests/test_late_loop.py
+++ b/packages/daisypick_router/tests/test_late_loop.py
@@ -1,8 +1,8 @@
-"""Requests of a router whose loop is held up.
+"""Requests of a router whose event loop lags.
 
-Other callers and the requests of a flood keep a small VM's loop busy for
-tenths of a second. What happened meanwhile lies unread: callers have left,
-deadlines have passed.
+Other callers and load spikes keep a small VM's loop busy for tenths of a
+second. Events of that time are unread: callers have disconnected, deadlines
+have passed.
 """
 
 import time
@@ -46,8 +46,8 @@
     )
 
 
-def _hold_up_before_sending(router, meanwhile):
-    """Hold the loop when a request is placed; ``meanwhile`` happens then."""
+def _block_loop_before_sending(router, meanwhile):
+    """Call ``meanwhile`` after a request is placed, before it is sent."""
     acquire = router.placing.acquire
 
     def _acquire(service, work):
@@ -58,15 +58,13 @@
     router.placing.acquire = _acquire
 
 
-def test_request_whose_caller_left_unnoticed_is_not_sent(store):
-    """Guards against work at engines for callers that are gone (GONE).
+def test_request_is_not_sent_after_unread_disconnect_of_its_caller(store):
+    """Guards against work at engines for disconnected callers (GONE).
 
-    Callers of a flooded VM gave up at their deadlines, and up to 20 of their
-    requests in a day reached engines more than half a second later. The
-    router had read the requests late, in turns of a loop that was held up,
-    and sent them while the callers' ends lay unread on their connections: the
-    bench saw "the client's deadline passes" at 19.515 s and the request reach
-    a server at 20.439 s, and the router's log said "silent for -0.350 s".
+    Callers of an overloaded VM closed their connections at their deadlines.
+    The lagging loop read their requests late and sent them while the close
+    was still unread on the connection, so requests reached engines more than
+    half a second after their deadlines.
     """
     server = fakes.FakeServer("e-1", "assist", fakes.stream_five)
     router = _serve(store, server)
@@ -76,7 +74,7 @@
         caller._sock.close()
         time.sleep(0.02)
 
-    _hold_up_before_sending(router, _leave)
+    _block_loop_before_sending(router, _leave)
     caller.sendall(fakes.write_request("/ask/1"))
     fakes.wait_for(lambda: router.serving.running == 1)
     fakes.wait_for(lambda: router.serving.running == 0)
@@ -86,16 +84,16 @@
     assert engine["running"] == 0
 
 
-def test_request_whose_deadline_passed_unnoticed_is_not_sent(store):
-    """Guards against sending a request on after its deadline (GONE).
+def test_request_is_not_sent_after_its_deadline(store):
+    """Guards against sending a request after its deadline (GONE).
 
-    The same loop was held up until after the deadline. The request still
-    went to an engine, with no time left, and the engine was blamed for its
-    silence.
+    The loop lags until after the deadline. The request was still sent to an
+    engine with no time left, and the timeout was counted as a failure of the
+    engine.
     """
     server = fakes.FakeServer("e-1", "assist", fakes.stream_five)
     router = _serve(store, server)
-    _hold_up_before_sending(router, lambda: time.sleep(0.25))
+    _block_loop_before_sending(router, lambda: time.sleep(0.25))
     answer = fakes.call(router, "/ask/1", patience="200")
     assert answer.status == 503
     assert server.requests == []
@@ -103,12 +101,12 @@
     assert not engine["aside"]
 
 
-def test_half_read_request_is_not_taken_for_an_idle_connection(store):
+def test_connection_with_a_partly_read_request_is_not_idle(store):
     """Guards against closing a connection in the middle of a request (LOST).
 
-    A caller's request comes in two pieces while its router stops. The first
-    piece was read; the connection counted as idle, was closed, and the rest
-    was thrown away, so a whole request had no answer.
+    A request arrives in two pieces while its router stops. After the first
+    piece the connection counted as idle and was closed, so that a complete
+    request got no response.
     """
     router = _serve(store, fakes.FakeServer("d-1", "desk", fakes.answer_ok))
     request = fakes.write_request("/reserve/1")
@@ -123,14 +121,13 @@
 
 
 def test_request_that_was_read_late_is_placed_like_others(store, monkeypatch):
-    """Guards against starving whom a busy VM serves (FAIR).
-
-    A flood of one organisation came through two VMs of 0.387 cores whose
-    loops were late by more than half of an objective. Its requests reached
-    the host with no time left, so no engine could begin them in time: of
-    1,981 thousand tokens that it asked for in a second 5 thousand began,
-    with none waiting, while others began 600 thousand. The host's line
-    "Decisions by organisation." showed it: 744 submitted, 2 started.
+    """Guards against starving organisations served by a busy VM (FAIR).
+
+    A load spike of one organisation arrived at two VMs of 0.387 cores whose
+    loops lagged by more than half a latency target. Its requests reached the
+    host with no time left, so no engine could start them in time: 2 of 744
+    submitted requests were started, 5 thousand of 1,981 thousand tokens,
+    while others got 600 thousand.
     """
     server = fakes.FakeServer("e-1", "assist", fakes.stream_five)
     router = _serve(store, server)
@@ -147,11 +144,11 @@
     assert fakes.call(router, "/ask/1").served
 
 
-def test_late_router_does_not_teach_how_long_engines_take(store):
-    """Guards against taking a router's own delay for an engine's (FAIR).
+def test_lagging_router_does_not_distort_learned_engine_speed(store):
+    """Guards against attributing a router's own delay to an engine (FAIR).
 
-    Whoever starts a request or sees its first event with a late loop tells
-    the host that the time between them says nothing.
+    A router that starts a request or reads its first event while its loop lags
+    reports to the host that the time between the two is not valid.
     """
     server = fakes.FakeServer("e-1", "assist", fakes.stream_five)
     router = _serve(store, server)
@@ -167,41 +164,44 @@
     assert after["base"] != before["base"]
 
 
-def test_flood_asks_for_no_more_than_may_wait(store):
-    """Guards against a loop that is busy with questions (FAIR).
+def test_load_spike_submits_no_more_requests_than_may_wait(store):
+    """Guards against a loop that is busy with placement requests (FAIR).
 
-    A late loop reads hundreds of a flood's requests in one turn, and asked
-    the host about each before the first answer said that it need not. As
-    many are asked for as may wait there; the rest is refused at once.
+    A lagging loop reads hundreds of requests of a load spike in one turn and
+    submitted each to the host before the first refusal arrived. Only as many
+    are submitted as may wait at the host; the others are refused at once.
     """
     router = _serve(store, fakes.FakeServer("e-1", "assist", fakes.stream_five))
     service = router.discovery.configuration.service_by_name["assist"]
     decided = gevent.event.Event()
-    questions = []
+    submitted = []
 
     def _decide(service, work):
-        questions.append(work.key)
+        submitted.append(work.key)
         return decided.wait(5.0)
 
     router.placing._decide = _decide
     pauses = router.placing._pauses_by_service["assist"]
     pauses.set("flood", seconds=0.0, now=time.monotonic())
 
-    def _ask(organisation, count):
-        questions.clear()
-        asked = [
+    def _submit(organisation, count):
+        submitted.clear()
+        handlers = [
             gevent.spawn(
                 router.placing.acquire, service, _make_job(organisation, number)
             )
             for number in range(count)
         ]
-        # Every one has asked or was refused; a busy machine takes a while.
+        # Each was submitted or refused; this may take a while on a busy
+        # machine.
         fakes.wait_for(
-            lambda: len(questions) + sum(one.ready() for one in asked) == count
+            lambda: (
+                len(submitted) + sum(one.ready() for one in handlers) == count
+            )
         )
-        return len(questions)
+        return len(submitted)
 
     most = admission.MOST_WAITING_BEYOND
-    assert _ask("flood", most + 20) == most
-    assert _ask("farm", most + 20) == most + 20
+    assert _submit("flood", most + 20) == most
+    assert _submit("farm", most + 20) == most + 20
     decided.set()
--- a/packages/daisypick_router/tests/test_serving.py
+++ b/packages/daisypick_router/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""The way of a request through one router, against stand-ins."""
+"""Requests through one router, with fake backend servers and store."""
 
 import time
 
@@ -23,16 +23,16 @@
     return fakes.start_router(store)
 
 
-def _desk(script, name="d-1"):
+def _make_plain_server(script, name="d-1"):
     return fakes.FakeServer(name, "desk", script)
 
 
-def _assist(script, name="e-1"):
+def _make_engine(script, name="e-1"):
     return fakes.FakeServer(name, "assist", script)
 
 
-def test_answer_is_passed_on_unchanged(store):
-    router = _serve(store, _desk(fakes.answer_ok))
+def test_response_is_relayed_unchanged(store):
+    router = _serve(store, _make_plain_server(fakes.answer_ok))
     answer = fakes.call(router, "/look/1?x=2", method="GET")
     assert answer.status == 200
     assert answer.whole
@@ -40,8 +40,8 @@
     assert answer.headers["daisypick-server-seal"] == "seal-d-1"
 
 
-def test_server_gets_the_systems_headers_and_not_the_callers_key(store):
-    server = _desk(fakes.answer_ok)
+def test_server_gets_the_routers_headers_but_not_the_api_key(store):
+    server = _make_plain_server(fakes.answer_ok)
     router = _serve(store, server)
     fakes.call(
         router,
@@ -67,18 +67,21 @@
     ],
 )
 def test_bad_requests_are_refused(store, path, words, status):
-    server = _desk(fakes.answer_ok)
+    server = _make_plain_server(fakes.answer_ok)
     router = _serve(store, server)
     assert fakes.call(router, path, **words).status == status
     assert server.requests == []
 
 
-def test_request_turned_away_goes_elsewhere(store):
-    """A server is full and says that the request did not run.
+def test_rejected_request_is_retried_at_another_server(store):
+    """A full server rejects a request without running it.
 
-    The route allows two servers, so the caller gets the other one's answer.
+    The route allows two servers, so the caller gets the other one's response.
     """
-    full, free = _desk(fakes.shed, "d-1"), _desk(fakes.answer_ok, "d-2")
+    full, free = (
+        _make_plain_server(fakes.shed, "d-1"),
+        _make_plain_server(fakes.answer_ok, "d-2"),
+    )
     router = _serve(store, full, free)
     for attempt in range(6):
         answer = fakes.call(router, "/look/1", attempt=f"a-{attempt}")
@@ -87,27 +90,30 @@
 
 
 def test_unsafe_request_runs_at_most_once(store):
-    """A server resets the connection after it took a reservation.
+    """A server closes the connection after it received an unsafe request.
 
-    It may have run, so no other server gets it, and the caller is told
+    The request may have run, so it is not retried, and the caller is told
     neither that it ran nor that it did not.
     """
 
     def _reset(server, connection, first, headers, body):
         return "close"
 
-    servers = _desk(_reset, "d-1"), _desk(_reset, "d-2")
+    servers = (
+        _make_plain_server(_reset, "d-1"),
+        _make_plain_server(_reset, "d-2"),
+    )
     router = _serve(store, *servers)
     answer = fakes.call(router, "/reserve/1")
     assert answer.status == 502
     assert sum(len(server.requests) for server in servers) == 1
 
 
-def test_late_answer_to_another_request_is_thrown_away(store):
-    """A server sends an answer twice; the second copy arrives late.
+def test_late_response_to_an_earlier_request_is_discarded(store):
+    """A server sends a response twice; the second copy arrives late.
 
-    It lies on the kept connection when the next request is sent there and
-    must not be taken for that one's answer.
+    It is unread on the persistent connection when the next request is sent
+    there and must not be taken for that request's response.
     """
 
     def _twice(server, connection, first, headers, body):
@@ -118,24 +124,24 @@
             )  # fmt: skip
         fakes.answer_ok(server, connection, first, headers, body)
 
-    router = _serve(store, _desk(_twice))
+    router = _serve(store, _make_plain_server(_twice))
     assert fakes.call(router, "/reserve/1", attempt="a-1").status == 200
     answer = fakes.call(router, "/reserve/1", attempt="a-2")
     assert answer.headers["daisypick-attempt-id"] == "a-2"
 
 
-def test_answer_without_seal_is_not_passed_on(store):
-    """Bytes that look like a success but bear no seal are not an answer."""
+def test_response_without_seal_is_not_relayed(store):
+    """A response without a server's seal is not a valid response."""
 
     def _forge(server, connection, first, headers, body):
         connection.sendall(fakes.write_answer(200, {}, b"forged"))
 
-    router = _serve(store, _desk(_forge))
+    router = _serve(store, _make_plain_server(_forge))
     assert fakes.call(router, "/reserve/1").status == 502
 
 
-def test_connections_to_servers_are_kept(store):
-    server = _desk(fakes.answer_ok)
+def test_connections_to_servers_are_reused(store):
+    server = _make_plain_server(fakes.answer_ok)
     router = _serve(store, server)
     for attempt in range(10):
         fakes.call(router, "/look/1", attempt=f"a-{attempt}")
@@ -143,24 +149,24 @@
     assert server.connections == 1
 
 
-def test_timeout_of_the_route_is_answered_in_time(store):
-    """A server takes a request and says nothing.
+def test_timeout_of_the_route_ends_a_request_in_time(store):
+    """A server receives a request and never responds.
 
-    The route's timeout is 1.5 s; the caller would wait longer, but gets its
-    final answer then.
+    The route's timeout is 1.5 s. The caller's is longer, but the router
+    responds when the shorter one expires.
     """
 
     def _hang(server, connection, first, headers, body):
         gevent.sleep(5.0)
 
-    router = _serve(store, _desk(_hang))
+    router = _serve(store, _make_plain_server(_hang))
     with gevent.Timeout(2.2):
         answer = fakes.call(router, "/reserve/1", patience="9000")
     assert answer.status == 504
 
 
-def test_stream_is_passed_on_event_by_event(store):
-    """The caller has the first event while the server still works."""
+def test_stream_is_relayed_event_by_event(store):
+    """The caller gets the first event while the server is still working."""
     gate = gevent.event.Event()
 
     def _wait_inside(server, connection, first, headers, body):
@@ -170,7 +176,7 @@
         fakes.send_events(connection, [2])
         fakes.end_stream(connection)
 
-    router = _serve(store, _assist(_wait_inside))
+    router = _serve(store, _make_engine(_wait_inside))
     with fakes.connect(router) as connection:
         connection.sendall(fakes.write_request("/ask/1"))
         data = b""
@@ -183,21 +189,24 @@
     assert b"piece 2" in data
 
 
-def test_engine_is_told_which_other_one_keeps_the_prompt(store):
-    """Two requests share a prompt, and the first one's engine is full.
+def test_engine_gets_the_address_of_another_that_caches_the_prompt(store):
+    """Two requests share a prompt, and the engine of the first is full.
 
-    The second goes to another engine, which copies what the first has read;
-    a caller's own word on copies never passes.
+    The second is sent to another engine, which copies the first one's KV
+    cache. The corresponding header of a caller is never relayed.
     """
     gate = gevent.event.Event()
 
-    def _stay(server, connection, first, headers, body):
+    def _stream_until_released(server, connection, first, headers, body):
         fakes.begin_stream(server, connection, headers)
         fakes.send_events(connection, [1])
         gate.wait(3.0)
         fakes.end_stream(connection)
 
-    servers = [_assist(_stay, name=name) for name in ("e-1", "e-2")]
+    servers = [
+        _make_engine(_stream_until_released, name=name)
+        for name in ("e-1", "e-2")
+    ]
     for server in servers:
         store.put("servers", server.name, server.describe(Slots=1))
     router = fakes.start_router(store)
@@ -224,12 +233,12 @@
 
 
 def test_work_is_counted_by_organisation(store):
-    """What callers asked for and got stands in one line a second.
+    """Demand and service per organisation are logged once a second.
 
-    Lines of single requests are left out under a flood, and what each
-    organisation got could then not be told.
+    Log lines of single requests are dropped in load spikes, so they do not
+    show what each organisation got.
     """
-    server = _assist(fakes.stream_five)
+    server = _make_engine(fakes.stream_five)
     router = _serve(store, server)
     assert fakes.call(router, "/ask/1", attempt="a-1").served
     paused = router.placing._pauses_by_service["assist"]
@@ -241,12 +250,12 @@
     assert row["asked"] == 2 * row["begun"] == 2 * row["largest"]
 
 
-def test_broken_stream_goes_on_at_another_server(store):
+def test_broken_stream_is_resumed_at_another_server(store):
     """A server crashes in the middle of the third event.
 
-    The route may be resumed, so another server goes on after the second
-    event. The caller sees each event once, whole and in order, under the
-    head of the first server.
+    The route is resumable, so another server continues after the second
+    event. The caller gets each event once, complete and in order, after the
+    response head of the first server.
     """
     calls = []
 
@@ -256,7 +265,10 @@
             return _break_after_two(server, connection, first, headers, body)
         return fakes.stream_five(server, connection, first, headers, body)
 
-    servers = _assist(_first_breaks, "e-1"), _assist(_first_breaks, "e-2")
+    servers = (
+        _make_engine(_first_breaks, "e-1"),
+        _make_engine(_first_breaks, "e-2"),
+    )
     router = _serve(store, *servers)
     answer = fakes.call(router, "/visit/1")
     assert answer.whole
@@ -267,11 +279,11 @@
     assert calls == [None, "2"]
 
 
-def test_broken_stream_that_may_not_go_on_is_cut(store):
-    """The same on a route that may not be resumed: the stream is not whole."""
+def test_broken_stream_that_is_not_resumable_is_aborted(store):
+    """On a route that is not resumable the caller sees a broken stream."""
     servers = (
-        _assist(_break_after_two, "e-1"),
-        _assist(fakes.stream_five, "e-2"),
+        _make_engine(_break_after_two, "e-1"),
+        _make_engine(fakes.stream_five, "e-2"),
     )
     router = _serve(store, servers[0])
     answer = fakes.call(router, "/ask/1")
@@ -282,7 +294,7 @@
 
 
 def _pause(seconds, *, after):
-    """Return a script that streams five events and pauses after some."""
+    """Return a script that streams five events with one pause."""
 
     def _script(server, connection, first, headers, body):
         fakes.begin_stream(server, connection, headers)
@@ -297,7 +309,7 @@
 
 @pytest.fixture
 def patient_store(store):
-    """Let every route wait for eight seconds."""
+    """Set the timeout of every route to eight seconds."""
     manifest = fakes.make_manifest(2)
     for route in manifest["Routes"]:
         route["TimeoutMs"] = 8000
@@ -305,57 +317,61 @@
     return store
 
 
-def test_stream_that_may_not_go_on_is_not_cut_for_a_pause(patient_store):
-    """Guards against ending a sound server's stream for its silence (LOST)."""
-    router = _serve(patient_store, _assist(_pause(1.4, after=2)))
+def test_stream_that_is_not_resumable_survives_a_pause(patient_store):
+    """Guards against aborting a healthy server's stream (LOST)."""
+    router = _serve(patient_store, _make_engine(_pause(1.4, after=2)))
     assert fakes.call(router, "/ask/1", patience="8000").whole
 
 
-def test_stream_on_its_last_server_is_not_cut_for_a_pause(patient_store):
-    """Guards against giving up the last server that may serve a stream."""
+def test_stream_on_its_last_allowed_server_survives_a_pause(patient_store):
+    """Guards against a timeout at the last server a stream may use."""
     scripts = [_break_after_two, _pause(1.4, after=2)]
 
     def _in_turn(server, connection, first, headers, body):
         return scripts.pop(0)(server, connection, first, headers, body)
 
     router = _serve(
-        patient_store, _assist(_in_turn, "e-1"), _assist(_in_turn, "e-2")
+        patient_store,
+        _make_engine(_in_turn, "e-1"),
+        _make_engine(_in_turn, "e-2"),
     )
     assert fakes.call(router, "/visit/1", patience="8000").whole
 
 
-def test_stream_goes_on_elsewhere_when_its_server_falls_silent(patient_store):
-    """Guards against waiting for a server that hangs while others serve."""
+def test_stream_is_resumed_elsewhere_when_its_server_hangs(patient_store):
+    """Guards against waiting for a hanging server while others work."""
     scripts = [_pause(6.0, after=2), fakes.stream_five]
 
     def _in_turn(server, connection, first, headers, body):
         return scripts.pop(0)(server, connection, first, headers, body)
 
     router = _serve(
-        patient_store, _assist(_in_turn, "e-1"), _assist(_in_turn, "e-2")
+        patient_store,
+        _make_engine(_in_turn, "e-1"),
+        _make_engine(_in_turn, "e-2"),
     )
     began = time.monotonic()
     assert fakes.call(router, "/visit/1", patience="8000").whole
     assert time.monotonic() - began < 5.0
 
 
-def test_last_plain_server_is_not_given_up_for_its_silence(patient_store):
-    """Guards against a failure told while the only server works (LOST)."""
+def test_only_plain_server_is_not_timed_out_early(patient_store):
+    """Guards against an error while the only server is working (LOST)."""
 
     def _answer_late(server, connection, first, headers, body):
         gevent.sleep(0.9)
         fakes.answer_ok(server, connection, first, headers, body)
 
-    router = _serve(patient_store, _desk(_answer_late))
+    router = _serve(patient_store, _make_plain_server(_answer_late))
     answer = fakes.call(router, "/look/1", method="GET", patience="8000")
     assert answer.status == 200
 
 
-def test_caller_that_leaves_ends_the_work(store):
+def test_disconnect_of_the_caller_ends_the_servers_work(store):
     """A caller closes its connection while a server streams to it.
 
-    The server sees its own connection end soon after, and works for nobody
-    no longer.
+    The router closes its connection to the server soon after, so that the
+    server can stop working on the request.
     """
     ended = gevent.event.Event()
 
@@ -366,7 +382,7 @@
             ended.set()
         return "close"
 
-    router = _serve(store, _assist(_fall_silent))
+    router = _serve(store, _make_engine(_fall_silent))
     with fakes.connect(router) as connection:
         connection.sendall(fakes.write_request("/ask/1"))
         while b"piece 1" not in connection.recv(65536):
@@ -375,10 +391,10 @@
     fakes.wait_for(lambda: router.serving.running == 0)
 
 
-def test_stream_that_ends_within_an_event_is_not_whole(store):
-    """A server ends its stream in good order, but in the middle of an event.
+def test_stream_that_ends_within_an_event_is_not_complete(store):
+    """A server ends its stream regularly, but in the middle of an event.
 
-    The framing says that all came; the caller must not be told so.
+    The framing marks the stream as complete; the router must not relay that.
     """
 
     def _end_inside(server, connection, first, headers, body):
@@ -388,19 +404,22 @@
         connection.sendall(b"%x\r\n%b\r\n" % (len(half), half))
         fakes.end_stream(connection)
 
-    router = _serve(store, _assist(_end_inside))
+    router = _serve(store, _make_engine(_end_inside))
     answer = fakes.call(router, "/ask/1")
     assert answer.body == b"id: 1\ndata: piece 1\n\n"
     assert not answer.whole
 
 
-def test_server_that_refuses_connections_costs_no_request(store):
-    """A crashed server still stands in the list.
+def test_server_that_refuses_connections_fails_no_request(store):
+    """A crashed server is still listed in the store.
 
-    Nothing was sent, so the request goes elsewhere, even one that may run
-    once only.
+    Nothing was sent, so even a request that must run at most once is sent to
+    another server.
     """
-    dead, alive = _desk(fakes.answer_ok, "d-1"), _desk(fakes.answer_ok, "d-2")
+    dead, alive = (
+        _make_plain_server(fakes.answer_ok, "d-1"),
+        _make_plain_server(fakes.answer_ok, "d-2"),
+    )
     dead.server.stop()
     router = _serve(store, dead, alive)
     for attempt in range(4):
@@ -409,7 +428,7 @@
 
 
 def test_router_without_configuration_is_not_ready():
-    """The store is away while a router starts: it says 503, never 404."""
+    """Without a store a starting router responds with 503, never 404."""
     store = fakes.FakeStore()
     store.down = True
     router = fakes.make_router(store)
@@ -420,10 +439,10 @@
     assert not router.is_ready
 
 
-def test_draining_server_gets_nothing_more(store):
+def test_draining_server_gets_no_more_requests(store):
     leaving, staying = (
-        _desk(fakes.answer_ok, "d-1"),
-        _desk(fakes.answer_ok, "d-2"),
+        _make_plain_server(fakes.answer_ok, "d-1"),
+        _make_plain_server(fakes.answer_ok, "d-2"),
     )
     router = _serve(store, leaving, staying)
     store.put("servers", "d-1", leaving.describe(State="draining"))
@@ -435,9 +454,9 @@
     assert len(leaving.requests) == before
 
 
-def test_data_centre_taken_out_gets_nothing_more(store):
+def test_data_centre_out_of_service_gets_no_more_requests(store):
     out = fakes.FakeServer("d-1", "desk", fakes.answer_ok, data_centre="x")
-    router = _serve(store, out, _desk(fakes.answer_ok, "d-2"))
+    router = _serve(store, out, _make_plain_server(fakes.answer_ok, "d-2"))
     store.put("evacuations", "x", {})
     directory = router.discovery.directory
     fakes.wait_for(lambda: len(directory.find_ready("desk")) == 1)
@@ -446,16 +465,16 @@
     assert out.requests == []
 
 
-def test_unreadable_entry_is_passed_over(store):
-    """Another writer leaves an entry that is no server; the others hold."""
+def test_invalid_entry_is_skipped(store):
+    """An invalid entry by another writer does not affect the others."""
     store.put("servers", "x-1", {"Service": 7, "Address": "no"})
-    router = _serve(store, _desk(fakes.answer_ok))
+    router = _serve(store, _make_plain_server(fakes.answer_ok))
     assert fakes.call(router, "/look/1").status == 200
 
 
-def test_configuration_never_goes_back(store):
-    """The store's list lags behind what a watch has shown before."""
-    router = _serve(store, _desk(fakes.answer_ok))
+def test_configuration_never_reverts_to_an_older_version(store):
+    """The store returns an older version than a watch did before."""
+    router = _serve(store, _make_plain_server(fakes.answer_ok))
     store.put("config", "main", fakes.make_manifest(9))
     fakes.wait_for(lambda: router.discovery.configuration.version == 9)
     store.put("config", "main", fakes.make_manifest(4))
@@ -465,7 +484,7 @@
 
 
 def test_revoked_key_is_refused(store):
-    router = _serve(store, _desk(fakes.answer_ok))
+    router = _serve(store, _make_plain_server(fakes.answer_ok))
     store.put(
         "config",
         "main",
@@ -476,12 +495,13 @@
     assert fakes.call(router, "/look/1", key="k2").status == 200
 
 
-def test_stopping_router_cuts_nothing(store):
+def test_stopping_router_aborts_no_request(store):
     """A router gets the signal to stop while a stream runs.
 
-    The stream ends whole. A request on a connection that was kept is still
-    served shortly after the signal, and told that the connection ends. What
-    comes much later is refused truly, because it might not end in time.
+    The stream is completed. A request on a persistent connection is still
+    served shortly after the signal, with a response that closes the
+    connection. Much later requests are refused, because they might not finish
+    in time.
     """
     gate = gevent.event.Event()
 
@@ -492,7 +512,9 @@
         fakes.send_events(connection, [2])
         fakes.end_stream(connection)
 
-    router = _serve(store, _assist(_slow), _desk(fakes.answer_ok))
+    router = _serve(
+        store, _make_engine(_slow), _make_plain_server(fakes.answer_ok)
+    )
     streaming, kept, late = (fakes.connect(router) for _ in range(3))
     for connection in (kept, late):
         connection.sendall(fakes.write_request("/look/1"))
@@ -515,20 +537,19 @@
     assert router.stopped.wait(4.0)
 
 
-def test_router_that_stops_leaves_no_caller_on_an_unread_connection(store):
-    """Guards against callers who wait on a connection nobody reads (LOST).
+def test_stopping_router_leaves_no_connection_unread(store):
+    """Guards against callers waiting on a connection nobody reads (LOST).
 
-    A router stops and a long stream keeps its process alive. It stopped to
-    accept but went on to listen, so callers connected, sent whole requests,
-    and saw the connection end without an answer up to two seconds later: in
-    the soak of real routers (stops, held loops, requests in two pieces) this
-    happened in six of eight seeds, and no router's log had the requests.
+    A router stops while a long stream keeps its process alive. It no longer
+    accepted connections but was still listening. Callers connected, sent
+    complete requests and had their connections closed without a response up
+    to two seconds later; the router did not log these requests.
     """
-    router = _serve(store, _desk(fakes.answer_ok))
+    router = _serve(store, _make_plain_server(fakes.answer_ok))
     router.serving.stopping_since = time.monotonic() - 2.6
     waiting = fakes.connect(router)
-    # No switch between the connection and the end of listening, as on a VM
-    # that was busy with something else.
+    # No greenlet switch between the connect and the end of listening, as on a
+    # busy VM.
     router._refuse_connections()
     waiting.sendall(fakes.write_request("/look/1"))
     answer = fakes.read_answer(waiting)
@@ -538,11 +559,11 @@
         fakes.connect(router)
 
 
-def test_stream_begun_before_the_stop_ends_its_connection(store):
-    """The head of a stream went out before the signal, without a word on it.
+def test_connection_closes_after_a_stream_begun_before_the_stop(store):
+    """The head of a stream was sent before the signal, without a close header.
 
-    After its end the connection must not take another request: it would run
-    into the kill of the process.
+    After the stream the connection must not take another request, which could
+    be cut off by the end of the process.
     """
     gate = gevent.event.Event()
 
@@ -552,7 +573,7 @@
         gate.wait(3.0)
         fakes.end_stream(connection)
 
-    router = _serve(store, _assist(_slow))
+    router = _serve(store, _make_engine(_slow))
     with fakes.connect(router) as connection:
         connection.sendall(fakes.write_request("/ask/1"))
         while b"piece 1" not in connection.recv(65536):
@@ -565,7 +586,7 @@
 
 
 def test_metrics_are_served(store):
-    router = _serve(store, _desk(fakes.answer_ok))
+    router = _serve(store, _make_plain_server(fakes.answer_ok))
     fakes.call(router, "/look/1")
     with fakes.socket.create_connection(
         ("127.0.0.1", router.settings.metrics_port)
@@ -587,14 +608,14 @@
     ]
 
 
-def test_plain_service_nearby_is_used_until_it_is_busy(store):
+def test_plain_server_in_the_same_data_centre_is_preferred(store):
     """Two servers of a plain service, one in the router's data centre.
 
-    Calls go to the near one, which saves bytes between data centres; when it
-    has its hands full they go to the other one too.
+    Requests go to the local one, which saves traffic between data centres;
+    when it is busy they go to the other one too.
     """
-    far = _desk(fakes.answer_ok, "d-0")
-    near = _desk(fakes.answer_ok, "d-1")
+    far = _make_plain_server(fakes.answer_ok, "d-0")
+    near = _make_plain_server(fakes.answer_ok, "d-1")
     store.put("servers", "d-0", far.describe(Zone="b"))
     router = _serve(store, near)
     fakes.wait_for(lambda: len(router.discovery.directory.server_by_name) == 2)
@@ -609,14 +630,15 @@
     assert picked.count("d-0") >= 1
 
 
-def test_overloaded_router_is_not_ready_and_ends_connections(store):
-    """A flood comes on kept connections of one small VM, others idle.
+def test_overloaded_router_is_not_ready_and_closes_connections(store):
+    """A load spike on persistent connections overloads one small VM.
 
-    Its timers wake late. It tells the platform that it is not ready, and when
-    that has taken note its answers end their connections, so that callers go
-    to other VMs. When its timers keep time it is ready again.
+    Its timers fire late. The router reports to the platform that it is not
+    ready. After the platform has had time to see that, its responses close
+    their connections, so that callers reconnect to other VMs. When timers fire
+    on time, the router is ready again.
     """
-    server = _desk(fakes.answer_ok)
+    server = _make_plain_server(fakes.answer_ok)
     router = _serve(store, server)
     now = time.monotonic()
     for _ in range(2):
@@ -633,12 +655,12 @@
     assert router.is_ready
 
 
-def test_greenlets_that_wait_for_the_loop_count_as_lag(store):
-    """A flood leaves more greenlets ready to run than the loop gets through.
+def test_run_queue_of_the_loop_counts_as_lag(store):
+    """A load spike makes more greenlets ready than the loop can run.
 
-    Timers still keep time, as the loop wakes them first; requests wait.
+    Timers still fire on time, as the loop runs them first; requests wait.
     """
-    router = _serve(store, _desk(fakes.answer_ok))
+    router = _serve(store, _make_plain_server(fakes.answer_ok))
     busy = [gevent.spawn(time.sleep, 0.001) for _ in range(400)]
     gevent.sleep(0.06)
     gevent.joinall(busy)
@@ -646,14 +668,14 @@
 
 
 @pytest.mark.parametrize("kind", ["config", "servers", "evacuations"])
-def test_change_is_in_force_soon_after_an_outage(store, kind):
-    """The store refuses for a while; when it is back one thing changes.
+def test_change_after_an_outage_is_applied_soon(store, kind):
+    """The store fails for a while; after it recovers one object changes.
 
-    While it is away one watcher asks at a time. When it is back, none may wait
-    for its turn until another one's watch has ended: its change would be in
-    force three seconds late.
+    During the outage the watchers probe the store one at a time. After it none
+    may wait until the watch of another one has ended: its change would be
+    applied three seconds late.
     """
-    router = _serve(store, _desk(fakes.answer_ok))
+    router = _serve(store, _make_plain_server(fakes.answer_ok))
     directory = router.discovery.directory
     for turn in range(2):
         store.refuse()
@@ -673,7 +695,9 @@
             )
             continue
         name = f"new-{turn}"
-        store.put(kind, name, _desk(fakes.answer_ok, name).describe())
+        store.put(
+            kind, name, _make_plain_server(fakes.answer_ok, name).describe()
+        )
         known = {
             "servers": lambda: directory.server_by_name,
             "evacuations": lambda: directory.data_centres_out,
@@ -681,13 +705,13 @@
         fakes.wait_for(lambda new=name, find=known: new in find(), 1.0)
 
 
-def test_change_made_after_a_silent_outage_is_in_force_soon(store):
-    """The store is silent for longer than a watch waits, then it is back.
+def test_change_after_a_hang_of_the_store_is_applied_soon(store):
+    """The store does not respond for longer than a watch waits, then recovers.
 
-    The watch that was asked shortly before hangs on. A change that is
-    acknowledged right after the return must not wait for its long timeout.
+    A watch requested shortly before the recovery hangs. A change acknowledged
+    right after the recovery must not wait for that watch's long timeout.
     """
-    router = _serve(store, _desk(fakes.answer_ok))
+    router = _serve(store, _make_plain_server(fakes.answer_ok))
     store.silent = True
     store.put("config", "main", fakes.make_manifest(2))
     gevent.sleep(5.2)
