--- a/packages/daisypick_router/tests/fakes.py
+++ b/packages/daisypick_router/tests/fakes.py
@@ -61,7 +61,7 @@
         self.events: list[tuple[int, str, dict, bool]] = []
         self.changed = event.Event()
         self.down = False
-        self.silent = False
+        self.hanging = False
         self.page = 500
         # Sent as a response header if it is above 0.
         self.era = 0
@@ -114,7 +114,7 @@
             request = read_request(connection)
             if request is None:
                 return
-            if self.silent:
+            if self.hanging:
                 continue
             if self.down:
                 connection.sendall(write_answer(503, {}, b""))
@@ -134,14 +134,14 @@
         self, method: str, target: str, body: bytes
     ) -> tuple[int, object]:
         path, _, query = target.partition("?")
-        words = dict(
+        parameters = dict(
             pair.split("=", 1) for pair in query.split("&") if "=" in pair
         )
         kind, _, name = path.removeprefix("/-/objects/").partition("/")
-        if method == "GET" and "Watch" in words:
-            return self._watch(kind, words)
+        if method == "GET" and "Watch" in parameters:
+            return self._watch(kind, parameters)
         if method == "GET":
-            return self._list(kind, words)
+            return self._list(kind, parameters)
         if method == "PUT":
             if name not in self.objects.get(kind, {}):
                 return 404, {}
@@ -157,9 +157,13 @@
             self.remove(kind, name)
         return 200, {}
 
-    def _list(self, kind: str, words: dict[str, str]) -> tuple[int, object]:
+    def _list(
+        self, kind: str, parameters: dict[str, str]
+    ) -> tuple[int, object]:
         names = sorted(self.objects.get(kind, {}))
-        names = [name for name in names if name > words.get("AfterRev", "")]
+        names = [
+            name for name in names if name > parameters.get("AfterRev", "")
+        ]
         page = names[: self.page]
         return 200, {
             "Items": [self.objects[kind][name] for name in page],
@@ -167,9 +171,11 @@
             "CurrentRev": self.revision,
         }
 
-    def _watch(self, kind: str, words: dict[str, str]) -> tuple[int, object]:
-        since, era = int(words["Watch"]), self.era
-        until = time.monotonic() + int(words["WaitMs"]) / 1000.0
+    def _watch(
+        self, kind: str, parameters: dict[str, str]
+    ) -> tuple[int, object]:
+        since, era = int(parameters["Watch"]), self.era
+        until = time.monotonic() + int(parameters["WaitMs"]) / 1000.0
         while True:
             found = [
                 {"Object": stored, "Deleted": deleted}
@@ -462,8 +468,8 @@
 read_answer = http_words.read_answer
 
 
-def call(router: process.RouterProcess, path: str, **words: str) -> Answer:
+def call(router: process.RouterProcess, path: str, **options: str) -> Answer:
     """Make a request on a new connection."""
     with connect(router) as connection:
-        connection.sendall(write_request(path, **words))
+        connection.sendall(write_request(path, **options))
         return read_answer(connection)
--- a/packages/daisypick_router/tests/test_late_loop.py
+++ b/packages/daisypick_router/tests/test_late_loop.py
@@ -135,10 +135,10 @@
     other = _make_job("mill", 0, prompt=4000)
     identify = serving.identify.identify
 
-    def _identify_late(*words):
+    def _identify_late(*arguments):
         time.sleep(0.25)
         router.hosted.note_started_elsewhere(service, other, "e-1", ahead=0.0)
-        return identify(*words)
+        return identify(*arguments)
 
     monkeypatch.setattr(serving.identify, "identify", _identify_late)
     assert fakes.call(router, "/ask/1").served
--- a/packages/daisypick_router/tests/test_serving.py
+++ b/packages/daisypick_router/tests/test_serving.py
@@ -59,17 +59,17 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "words", "status"),
+    ("path", "options", "status"),
     [
         ("/nowhere/1", {}, 404),
         ("/look/1", {"key": "wrong"}, 401),
         ("/look/1", {"X_Big": "x" * 5000}, 431),
     ],
 )
-def test_bad_requests_are_refused(store, path, words, status):
+def test_bad_requests_are_refused(store, path, options, status):
     server = _make_plain_server(fakes.answer_ok)
     router = _serve(store, server)
-    assert fakes.call(router, path, **words).status == status
+    assert fakes.call(router, path, **options).status == status
     assert server.requests == []
 
 
@@ -515,16 +515,16 @@
     router = _serve(
         store, _make_engine(_slow), _make_plain_server(fakes.answer_ok)
     )
-    streaming, kept, late = (fakes.connect(router) for _ in range(3))
-    for connection in (kept, late):
+    streaming, persistent, late = (fakes.connect(router) for _ in range(3))
+    for connection in (persistent, late):
         connection.sendall(fakes.write_request("/look/1"))
         assert fakes.read_answer(connection).status == 200
     streaming.sendall(fakes.write_request("/ask/1"))
     fakes.wait_for(lambda: router.serving.running == 1)
     router.begin_stop()
     assert not router.is_ready
-    kept.sendall(fakes.write_request("/look/1", attempt="a-2"))
-    answer = fakes.read_answer(kept)
+    persistent.sendall(fakes.write_request("/look/1", attempt="a-2"))
+    answer = fakes.read_answer(persistent)
     assert answer.status == 200
     assert answer.headers["connection"] == "close"
     router.serving.stopping_since -= 2.51
@@ -712,9 +712,9 @@
     right after the recovery must not wait for that watch's long timeout.
     """
     router = _serve(store, _make_plain_server(fakes.answer_ok))
-    store.silent = True
+    store.hanging = True
     store.put("config", "main", fakes.make_manifest(2))
     gevent.sleep(5.2)
-    store.silent = False
+    store.hanging = False
     store.put("config", "main", fakes.make_manifest(3))
     fakes.wait_for(lambda: router.discovery.configuration.version == 3, 1.8)
