--- a/packages/daisypick_core/src/daisypick_core/serving/backend_server.py
+++ b/packages/daisypick_core/src/daisypick_core/serving/backend_server.py
@@ -1,21 +1,22 @@
-"""One start of a backend server, as the platform's list names it."""
+"""One instance of a backend server, as listed by the platform."""
 
 import typing
 
 
 class BackendServer(typing.NamedTuple):
-    """A backend server that announced itself.
+    """A backend server that registered with the platform.
 
     Attributes:
-        name: Its id, which it checks on request.
-        service: The service that it belongs to.
-        address: IP number and port.
-        data_centre: Where it is.
-        slots: Requests that it runs at once.
-        draining: Whether it is leaving.
-        cold_until: When it is warm, on our clock; in the past if it is.
-        born: Unix milliseconds of its start. The same name with another
-            value is another start, which knows nothing of before.
+        name: Its id, which the server verifies on request.
+        service: Name of the service that it belongs to.
+        address: IP address and port.
+        data_centre: Name of its data centre.
+        slots: Maximum number of concurrent requests.
+        draining: Whether it is shutting down.
+        cold_until: Local time at which it is warm; in the past for a warm
+            server.
+        born: Start time in Unix milliseconds. The same name with another
+            value is a new instance without the state of the previous one.
     """
 
     name: str
--- a/packages/daisypick_core/src/daisypick_core/serving/cold_limit.py
+++ b/packages/daisypick_core/src/daisypick_core/serving/cold_limit.py
@@ -1,11 +1,11 @@
-"""How much a cold backend server gets from one router.
+"""Limits the rate at which one router sends to cold backend servers.
 
-``cold_parts`` says which part of the server's rate the router has; here it is
-kept to it. What was sent while the server was warm counts too: a server can
-turn cold at any moment.
+``cold_parts`` computes the router's quota of the server's rate; this module
+enforces it. Requests sent while the server was warm count too, because a
+server can turn cold at any moment.
 
-The window is somewhat longer than a second, because a request that is sent
-in one second may arrive in the next, together with that second's own.
+The window is slightly longer than a second, because a request sent in one
+second may arrive in the next, together with the requests of that second.
 
 Examples:
     >>> from daisypick_core.serving import cold_parts
@@ -19,51 +19,50 @@
 """
 
 from daisypick_core.serving import cold_parts
-from daisypick_core.serving import send_window
+from daisypick_core.serving import sliding_window
 
-# A second, and the spread of arrivals seen on links between data centres.
+# One second plus the jitter of links between data centres.
 _WINDOW_SECONDS = 1.1
 
 
 class ColdLimit:
-    """Sends of a router to cold servers, by server."""
+    """Rate limit for the requests of one router, per server."""
 
     def __init__(self, *, router: str, parts: cold_parts.ColdParts) -> None:
         self._router = router
         self._parts = parts
-        self._window_by_server: dict[str, send_window.SendWindow] = {}
+        self._window_by_server: dict[str, sliding_window.SlidingWindow] = {}
 
     def allows(self, server: str, rate: float, now: float) -> bool:
-        """Tell whether one more request may be sent now."""
-        part = self._parts.find_part(self._router, server, rate=rate)
+        """Return whether one more request may be sent now."""
+        quota = self._parts.find_quota(self._router, server, rate=rate)
         window = self._window_by_server.get(server)
-        return part > (0 if window is None else window.count(now))
+        return quota > (0 if window is None else window.count(now))
 
     def take(self, server: str, rate: float, now: float) -> bool:
-        """Count a request and return ``True``, or refuse it."""
+        """Count a request and return ``True``, or ``False`` at the limit."""
         if not self.allows(server, rate, now):
             return False
         self.note(server, now)
         return True
 
     def note(self, server: str, now: float) -> None:
-        """Count a request that is sent, whether the server is cold or not."""
+        """Count a request that was sent to a cold or a warm server."""
         window = self._window_by_server.get(server)
         if window is None:
-            window = send_window.SendWindow(seconds=_WINDOW_SECONDS)
+            window = sliding_window.SlidingWindow(seconds=_WINDOW_SECONDS)
             self._window_by_server[server] = window
         window.add(now)
         window.count(now)
 
     def __len__(self) -> int:
-        """Return for how many servers something is remembered."""
+        """Return the number of servers with a window."""
         return len(self._window_by_server)
 
     def expire(self, now: float) -> None:
         """Drop servers to which nothing was sent within the window.
 
-        Kept for good, each router and each server that it ever used would
-        stay in the memory of a host.
+        Without it memory grows with every server that a router ever used.
         """
         for server, window in list(self._window_by_server.items()):
             if not window.count(now):
--- a/packages/daisypick_core/src/daisypick_core/serving/directory.py
+++ b/packages/daisypick_core/src/daisypick_core/serving/directory.py
@@ -1,10 +1,10 @@
-"""The backend servers that may get work, from a list that has outages.
+"""The backend servers that may receive requests, from an unreliable list.
 
-The platform's list forgets a backend server that is silent for a while, also
-when the silence is the platform's own. So what vanished during an outage is
-kept for ``RETURN_SECONDS`` after the list is back; by then a server that
-lives has announced itself again. In ordinary times an entry that goes is
-gone at once.
+The platform's list drops a backend server whose heartbeats stop, also when an
+outage of the platform itself prevents them. Entries that disappear during an
+outage are therefore kept for ``REREGISTRATION_SECONDS`` after the list is
+available again; by then a live server has registered again. Outside of outages
+an entry that disappears is dropped at once.
 
 Examples:
     >>> from daisypick_core.serving import backend_server
@@ -31,82 +31,88 @@
 
 from daisypick_core.serving import backend_server
 
-# The platform says that a live server is back in its list within about two
-# seconds of the platform's return; the rest is the delay of our watch.
-RETURN_SECONDS = 2.2
+# The platform documents that a live server is listed again within about two
+# seconds after an outage; the rest is the delay of the watch.
+REREGISTRATION_SECONDS = 2.2
 
 
 class _Ready(typing.NamedTuple):
-    """Servers of a service that may get new work, by name."""
+    """Servers of a service that may receive requests, sorted by name."""
 
     servers: list[backend_server.BackendServer]
     by_data_centre: dict[str, list[backend_server.BackendServer]]
 
 
 class Directory:
-    """Backend servers by name, and the data centres taken out."""
+    """Backend servers by name, and the data centres out of service.
+
+    Attributes:
+        server_by_name: All known servers.
+        data_centres_out: Data centres that are out of service.
+    """
 
     def __init__(self) -> None:
         self.server_by_name: dict[str, backend_server.BackendServer] = {}
         self.data_centres_out: frozenset[str] = frozenset()
-        self._back_at_by_data_centre: dict[str, float] = {}
-        self._out_since: float | None = None
-        self._returned_at = -RETURN_SECONDS
+        self._enabled_at_by_data_centre: dict[str, float] = {}
+        self._outage_since: float | None = None
+        self._recovered_at = -REREGISTRATION_SECONDS
         self._missing_since_by_name: dict[str, float] = {}
         self._names_by_service: dict[str, set[str]] = {}
-        # Looked up by every request; built anew after a change of the service.
+        # Caches that every request reads; a change of the service clears them.
         self._ready_by_service: dict[str, _Ready] = {}
-        self._closed_by_service: dict[str, list[str]] = {}
+        self._unavailable_by_service: dict[str, list[str]] = {}
 
     def set_out(self, data_centres: Iterable[str], now: float) -> None:
-        """Take which data centres are out of service."""
+        """Set the data centres that are out of service."""
         self._ready_by_service.clear()
-        self._closed_by_service.clear()
+        self._unavailable_by_service.clear()
         out = frozenset(data_centres)
-        for back in self.data_centres_out - out:
-            self._back_at_by_data_centre[back] = now
+        for data_centre in self.data_centres_out - out:
+            self._enabled_at_by_data_centre[data_centre] = now
         self.data_centres_out = out
 
     def find_cold_until(
         self, server: backend_server.BackendServer, cold_seconds: float
     ) -> float:
-        """Return when a server is warm.
+        """Return the time at which a server is warm.
 
-        Servers of a data centre that was taken out may have turned cold
-        meanwhile, and their entries tell so only with their next heartbeat.
-        Until a start's time has passed they are taken for cold; without that
-        one got 41 requests in its first second, where it bears 23.
+        Servers of a data centre that was out of service may have turned cold
+        meanwhile, and their entries show it only after the next heartbeat.
+        They are treated as cold for the duration of a cold start; without
+        that a server received 41 requests in its first second, while a cold
+        one can handle 23.
         """
-        back_at = self._back_at_by_data_centre.get(server.data_centre)
-        if back_at is None:
+        enabled_at = self._enabled_at_by_data_centre.get(server.data_centre)
+        if enabled_at is None:
             return server.cold_until
-        return max(server.cold_until, back_at + cold_seconds)
+        return max(server.cold_until, enabled_at + cold_seconds)
 
     def note_outage(self, now: float) -> None:
-        """The platform did not answer."""
-        if self._out_since is None:
-            self._out_since = now
+        """Record that the platform did not respond."""
+        if self._outage_since is None:
+            self._outage_since = now
 
     def note_contact(self, now: float) -> None:
-        """The platform answered."""
-        if self._out_since is not None:
-            self._out_since = None
-            self._returned_at = now
+        """Record that the platform responded."""
+        if self._outage_since is not None:
+            self._outage_since = None
+            self._recovered_at = now
 
     def note_restored(self, now: float) -> None:
-        """The platform came back from a copy; entries may be missing."""
-        self._returned_at = now
+        """Record a restore of the platform's store; entries may be missing."""
+        self._recovered_at = now
 
-    def is_settling(self, now: float) -> bool:
-        """Tell whether entries may be missing for the platform's own sake."""
-        if self._out_since is not None:
+    def may_miss_entries(self, now: float) -> bool:
+        """Return whether a platform outage may have removed entries."""
+        if self._outage_since is not None:
             return True
-        return now - self._returned_at < RETURN_SECONDS
+        return now - self._recovered_at < REREGISTRATION_SECONDS
 
     def replace_all(
         self, servers: Iterable[backend_server.BackendServer], now: float
     ) -> None:
-        """Take a whole list."""
+        """Replace all entries by those of a complete list."""
         listed = {server.name: server for server in servers}
         for name in list(self.server_by_name):
             if name not in listed:
@@ -115,7 +121,7 @@
             self.put(server)
 
     def put(self, server: backend_server.BackendServer) -> None:
-        """Take a new or changed entry."""
+        """Add or update an entry."""
         self._missing_since_by_name.pop(server.name, None)
         before = self.server_by_name.get(server.name)
         if before is not None and before.service != server.service:
@@ -127,18 +133,18 @@
         self._note_change(server.service)
 
     def remove(self, name: str, now: float) -> None:
-        """Take note that an entry is gone from the list."""
+        """Remove an entry, with a delay around a platform outage."""
         if name not in self.server_by_name:
             return
-        if self.is_settling(now):
+        if self.may_miss_entries(now):
             self._missing_since_by_name.setdefault(name, now)
             return
         self._missing_since_by_name.pop(name, None)
         self._drop(name)
 
     def expire(self, now: float) -> list[str]:
-        """Drop what is still missing after the platform's return."""
-        if self.is_settling(now):
+        """Drop entries still missing after an outage; return their names."""
+        if self.may_miss_entries(now):
             return []
         names = list(self._missing_since_by_name)
         for name in names:
@@ -154,19 +160,19 @@
 
     def _note_change(self, service: str) -> None:
         self._ready_by_service.pop(service, None)
-        self._closed_by_service.pop(service, None)
+        self._unavailable_by_service.pop(service, None)
 
     def find_ready(self, service: str) -> list[backend_server.BackendServer]:
-        """Return the servers of a service that may get new work, by name.
+        """Return the servers of a service that may receive requests.
 
-        The list is not to be changed.
+        The list is sorted by name; callers must not modify it.
         """
         return self._find_ready(service).servers
 
     def find_ready_in(
         self, service: str, data_centre: str
     ) -> list[backend_server.BackendServer]:
-        """Return those of them that are in a data centre."""
+        """Return those servers of ``find_ready`` in one data centre."""
         by_data_centre = self._find_ready(service).by_data_centre
         return by_data_centre.get(data_centre, [])
 
@@ -177,31 +183,31 @@
             for server in self._find_servers(service):
                 if self.may_get_work(server):
                     ready.servers.append(server)
-                    near = ready.by_data_centre.setdefault(
+                    local = ready.by_data_centre.setdefault(
                         server.data_centre, []
                     )
-                    near.append(server)
+                    local.append(server)
             self._ready_by_service[service] = ready
         return ready
 
     def find_closed(self, service: str) -> list[str]:
-        """Return the names of the servers that must not get new work."""
-        closed = self._closed_by_service.get(service)
-        if closed is None:
-            closed = [
+        """Return the names of the servers that must not get new requests."""
+        names = self._unavailable_by_service.get(service)
+        if names is None:
+            names = [
                 server.name
                 for server in self._find_servers(service)
                 if not self.may_get_work(server)
             ]
-            self._closed_by_service[service] = closed
-        return closed
+            self._unavailable_by_service[service] = names
+        return names
 
     def _find_servers(self, service: str) -> list[backend_server.BackendServer]:
         names = sorted(self._names_by_service.get(service, ()))
         return [self.server_by_name[name] for name in names]
 
     def may_get_work(self, server: backend_server.BackendServer) -> bool:
-        """Tell whether a server stays and its data centre is in service."""
+        """Return whether a server and its data centre are in service."""
         return (
             not server.draining
             and server.data_centre not in self.data_centres_out
--- a/packages/daisypick_core/src/daisypick_core/serving/event_stream.py
+++ b/packages/daisypick_core/src/daisypick_core/serving/event_stream.py
@@ -1,9 +1,9 @@
-r"""Whole events of a stream, in order, once.
+r"""Complete events of a stream, in order, without duplicates.
 
-A backend server can break off in the middle of an event. Only whole events
-are passed on, so the stream can go on at another server with the event after
-the last one. An event that was passed on already is left out; a gap is an
-error, because the caller would miss a piece without noticing.
+A backend server can fail in the middle of an event. Only complete events are
+forwarded, so another server can resume the stream after the last one. An event
+that was already forwarded is skipped; a gap is an error, because the caller
+would miss events without noticing.
 
 Examples:
     >>> stream = EventStream()
@@ -20,16 +20,16 @@
 
 
 class GapError(Exception):
-    """An event is missing between two that came."""
+    """An event is missing between two received events."""
 
 
 class EventStream:
     """Splits bytes into events and checks their ids.
 
     Attributes:
-        last_id: Id of the last event passed on, ``None`` before the first.
-        rest: Bytes of an event that is not whole yet.
-        passed: Events passed on.
+        last_id: Id of the last forwarded event, ``None`` before the first.
+        rest: Bytes of an incomplete event.
+        passed: Number of forwarded events.
     """
 
     def __init__(self, *, last_id: int | None = None) -> None:
@@ -38,11 +38,11 @@
         self.passed = 0
 
     def restart(self) -> None:
-        """Begin to read from another server, after ``last_id``."""
+        """Start reading from another server, after ``last_id``."""
         self.rest = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that are new.
+        """Return the complete events that were not forwarded yet.
 
         Raises:
             GapError: An event between the last one and this one is missing.
@@ -52,11 +52,11 @@
         if end < 0:
             self.rest = buffer
             return b""
-        whole = buffer[: end + len(_END)]
+        complete = buffer[: end + len(_END)]
         self.rest = buffer[end + len(_END) :]
         return b"".join(
             event + _END
-            for event in whole.split(_END)[:-1]
+            for event in complete.split(_END)[:-1]
             if self._is_new(event)
         )
 
--- a/packages/daisypick_core/src/daisypick_core/serving/fleet_configuration.py
+++ b/packages/daisypick_core/src/daisypick_core/serving/fleet_configuration.py
@@ -1,6 +1,6 @@
 """The fleet's configuration as the router uses it.
 
-Times are seconds, sizes bytes or tokens. A configuration is immutable; a
+Times are in seconds, sizes in bytes or tokens. A configuration is immutable; a
 newer one replaces it as a whole, so a request sees one version throughout.
 
 Examples:
@@ -23,13 +23,13 @@
 
 
 class Engine(typing.NamedTuple):
-    """Shape of a model engine.
+    """Capacity of a model engine.
 
     Attributes:
-        slots: Requests that run in one batch.
-        kv_tokens: Tokens that its KV cache holds.
-        copy_token_seconds: Seconds in which one token of KV cache is copied
-            from another engine of the service; zero if they cannot copy.
+        slots: Maximum number of requests in one batch.
+        kv_tokens: Capacity of its KV cache in tokens.
+        copy_token_seconds: Seconds to copy one token of KV cache from another
+            engine of the service; zero if copying is not supported.
     """
 
     slots: int
@@ -38,14 +38,14 @@
 
 
 class Service(typing.NamedTuple):
-    """A service and what its backend servers bear.
+    """A service and the capacity of its backend servers.
 
     Attributes:
         name: Name that routes refer to.
-        cold_seconds: How long a backend server is cold after its start.
-        cold_rate: Requests a second that a cold one bears; zero means that
-            it needs no care.
-        engine: ``None`` for a plain service.
+        cold_seconds: Duration of a backend server's cold start.
+        cold_rate: Requests per second that a cold server can handle; zero
+            for no limit.
+        engine: ``None`` for a plain HTTP service.
     """
 
     name: str
@@ -55,21 +55,21 @@
 
 
 class Organisation(typing.NamedTuple):
-    """Who sends requests under a key."""
+    """The owner of an API key."""
 
     name: str
 
 
 class Limits(typing.NamedTuple):
-    """What callers may send, and the capacity that is shared.
+    """Limits of callers' requests, and the capacity that they share.
 
     Attributes:
-        header_bytes: Most bytes of a head.
-        body_bytes: Most bytes of a body.
-        header_timeout: Seconds for a head to arrive.
-        idle_timeout: Seconds that an idle connection is kept.
-        tokens_per_second: What all engines of the fleet produce, a token
-            read counted once and a token generated twice; zero if unknown.
+        header_bytes: Maximum size of a request's head.
+        body_bytes: Maximum size of a request's body.
+        header_timeout: Seconds within which a head must arrive.
+        idle_timeout: Seconds for which an idle connection is kept open.
+        tokens_per_second: Throughput of all engines of the fleet, a prompt
+            token counted once and a generated token twice; zero if unknown.
     """
 
     header_bytes: int = 16384
@@ -83,10 +83,10 @@
     """One version of the configuration.
 
     Attributes:
-        version: Rises from one configuration to the next.
-        routes: Finds the route of a request.
+        version: Increases with each configuration.
+        routes: The route table.
         service_by_name: The services.
-        organisation_by_key: API keys in force.
+        organisation_by_key: The owners of the valid API keys.
         limits: Limits of callers.
     """
 
--- a/packages/daisypick_core/src/daisypick_core/serving/outcomes.py
+++ b/packages/daisypick_core/src/daisypick_core/serving/outcomes.py
@@ -1,8 +1,8 @@
-"""Backend servers set aside for what they did.
+"""Ejects backend servers after consecutive failures.
 
-Health answers can be false, so only outcomes of requests count. A server is
-set aside after a few failures in a row, for a time that doubles while trying
-it again fails. One success forgives everything.
+Health checks can give false results, so only outcomes of requests count. A
+server is ejected after a few consecutive failures, for a time that doubles
+while retries of it fail. One success resets its record.
 
 Examples:
     >>> outcomes = Outcomes()
@@ -12,62 +12,63 @@
     (True, False)
 """
 
-# Failures in a row before a server is set aside. One failure is ordinary
-# (an error of the application itself); three in a row at the usual error
-# rates of one to two in ten come by chance less than once in a hundred.
-_FAILURES = 3
-# First and longest time that a server stays aside, in seconds. A crashed
-# server is back after some seconds; trying it once a second costs nothing.
-_FIRST_SECONDS = 0.5
-_LONGEST_SECONDS = 2.0
+# Consecutive failures that eject a server. A single failure is normal (an error
+# of the application itself); at the usual error rates of 10 to 20 percent three
+# in a row happen by chance in less than 1 percent of cases.
+_FAILURES_TO_EJECT = 3
+# First and longest duration of an ejection, in seconds. A crashed server is
+# available again after some seconds; one retry per second costs nothing.
+_FIRST_EJECTION_SECONDS = 0.5
+_LONGEST_EJECTION_SECONDS = 2.0
 
 
 class _Record:
-    __slots__ = ("failures", "until", "seconds")
+    __slots__ = ("failures", "ejected_until", "ejection_seconds")
 
     def __init__(self) -> None:
         self.failures = 0
-        self.until = 0.0
-        self.seconds = 0.0
+        self.ejected_until = 0.0
+        self.ejection_seconds = 0.0
 
 
 class Outcomes:
-    """Failures in a row, by server."""
+    """Consecutive failures, by server."""
 
     def __init__(self) -> None:
         self._record_by_server: dict[str, _Record] = {}
 
     def note_success(self, server: str) -> None:
-        """Forgive a server."""
+        """Reset the record of a server."""
         self._record_by_server.pop(server, None)
 
     def note_failure(
         self, server: str, now: float, *, certain: bool = False
     ) -> None:
-        """Count a failure; a ``certain`` one sets the server aside at once."""
+        """Count a failure; a ``certain`` one ejects the server at once."""
         record = self._record_by_server.setdefault(server, _Record())
         record.failures += 1
-        if now < record.until:
+        if now < record.ejected_until:
             return
-        if certain or record.failures >= _FAILURES:
-            record.seconds = min(
-                max(record.seconds * 2.0, _FIRST_SECONDS), _LONGEST_SECONDS
+        if certain or record.failures >= _FAILURES_TO_EJECT:
+            record.ejection_seconds = min(
+                max(record.ejection_seconds * 2.0, _FIRST_EJECTION_SECONDS),
+                _LONGEST_EJECTION_SECONDS,
             )
-            record.until = now + record.seconds
+            record.ejected_until = now + record.ejection_seconds
 
     def is_aside(self, server: str, now: float) -> bool:
-        """Tell whether a server gets nothing now."""
+        """Return whether a server is ejected now."""
         record = self._record_by_server.get(server)
-        return record is not None and now < record.until
+        return record is not None and now < record.ejected_until
 
     def find_aside(self, now: float) -> list[str]:
-        """Return the servers that get nothing now."""
+        """Return the servers that are ejected now."""
         return [
             server
             for server, record in self._record_by_server.items()
-            if now < record.until
+            if now < record.ejected_until
         ]
 
     def forget(self, server: str) -> None:
-        """Drop a server that is gone."""
+        """Drop the record of a server that no longer exists."""
         self._record_by_server.pop(server, None)
--- a/packages/daisypick_core/src/daisypick_core/serving/overload.py
+++ b/packages/daisypick_core/src/daisypick_core/serving/overload.py
@@ -1,13 +1,13 @@
-"""Whether a process has more callers than its processor can serve.
+"""Detects that a process has more callers than its processor can serve.
 
-Callers keep their connections, so one VM may get most of a flood while its
-neighbours idle: a VM of 0.387 cores wrote some 950 log lines of requests a
-second and read others too late, with 30 a second at the next one. The process
-notices by its own timers: one that wakes late tells for how long anything else
-waits for the processor. While that goes on it tells the platform that it is
-not ready, and after the platform has taken note it ends connections with their
-answers, so that their callers connect elsewhere. It is ready again when its
-timers keep time and some seconds have passed.
+Callers reuse their connections, so one VM may receive most of a traffic spike
+while others are idle: a VM of 0.387 cores logged about 950 requests per second
+and read others too late, while the next VM had 30 per second. The process
+detects overload by the lag of its own timers, which shows how long everything
+else waits for the processor. During overload it reports to the platform that
+it is not ready. After the platform has had time to react, it closes connections
+after their responses, so that their callers connect to other VMs. It is ready
+again when the lag is small and a minimum time has passed.
 
 Examples:
     >>> overload = Overload()
@@ -23,49 +23,59 @@
     True
 """
 
-# Weight of a sample in the smoothed lag. At 20 samples a second it follows
-# within a third of a second.
-_WEIGHT = 0.15
-# Longest lag that one sample counts, in seconds: a VM that was frozen for
-# seconds wakes with one late timer and is not overloaded.
-_MOST = 0.4
+# Weight of a sample in the smoothed lag. At 20 samples per second the average
+# follows within a third of a second.
+_SMOOTHING_WEIGHT = 0.15
+# Upper bound of one sample, in seconds: a VM that was frozen for seconds
+# resumes with one late timer and is not overloaded.
+_MAX_SAMPLE_SECONDS = 0.4
 # Smoothed lags, in seconds, at which overload begins and ends. A request waits
-# for the loop three to four times; so it loses three quarters of the shortest
-# objective, 0.4 s.
-_BEGINS = 0.08
-_ENDS = 0.02
-# The platform takes a VM out after two questions a second apart.
-_NOTICE_SECONDS = 2.5
-# Shortest time out of rotation, in seconds. Back too soon, the same callers
-# return with their next connections.
-_LEAST_SECONDS = 4.0
+# for the event loop three to four times, so at the first value it loses three
+# quarters of the shortest latency objective, 0.4 s.
+_OVERLOAD_LAG_SECONDS = 0.08
+_RECOVERED_LAG_SECONDS = 0.02
+# The platform takes a VM out of rotation after two failed readiness probes one
+# second apart.
+_PROBE_SECONDS = 2.5
+# Minimum time out of rotation, in seconds. After a shorter one the same callers
+# would return with their next connections.
+_MIN_UNREADY_SECONDS = 4.0
 
 
 class Overload:
-    """Lag of a process's timers, and what follows from it."""
+    """Overload state of a process, derived from the lag of its timers.
+
+    Attributes:
+        lag: Smoothed lag in seconds.
+    """
 
     def __init__(self) -> None:
         self.lag = 0.0
-        self._since: float | None = None
+        self._overloaded_since: float | None = None
 
     @property
     def is_ready(self) -> bool:
-        """Whether new callers may be sent here."""
-        return self._since is None
+        """Whether the process may receive new connections."""
+        return self._overloaded_since is None
 
     def note_lag(self, seconds: float, now: float) -> None:
-        """Take how late a timer woke."""
-        self.lag += _WEIGHT * (min(max(seconds, 0.0), _MOST) - self.lag)
-        if self._since is None:
-            if self.lag >= _BEGINS:
-                self._since = now
-        elif self.lag <= _ENDS and now - self._since >= _LEAST_SECONDS:
-            self._since = None
+        """Record by how much a timer was late."""
+        self.lag += _SMOOTHING_WEIGHT * (
+            min(max(seconds, 0.0), _MAX_SAMPLE_SECONDS) - self.lag
+        )
+        if self._overloaded_since is None:
+            if self.lag >= _OVERLOAD_LAG_SECONDS:
+                self._overloaded_since = now
+        elif (
+            self.lag <= _RECOVERED_LAG_SECONDS
+            and now - self._overloaded_since >= _MIN_UNREADY_SECONDS
+        ):
+            self._overloaded_since = None
 
     def ends_connections(self, now: float) -> bool:
-        """Tell whether an answer should end its connection."""
+        """Return whether connections should close after their response."""
         return (
-            self._since is not None
-            and now - self._since >= _NOTICE_SECONDS
-            and self.lag > _ENDS
+            self._overloaded_since is not None
+            and now - self._overloaded_since >= _PROBE_SECONDS
+            and self.lag > _RECOVERED_LAG_SECONDS
         )
--- a/packages/daisypick_core/src/daisypick_core/serving/restore_hold.py
+++ b/packages/daisypick_core/src/daisypick_core/serving/restore_hold.py
@@ -1,9 +1,10 @@
-"""What stays in force after the platform's store came back from a copy.
+"""Keeps state in force after the platform's store is restored from a backup.
 
-Such a store has forgotten what it acknowledged since the copy: that a backend
-server drains or has left, that a data centre was taken out. Whoever wrote it
-writes it again within seconds. Until then, or for ``HOLD_SECONDS`` after the
-first lists from the restored store, these do not undo what was believed before.
+A restored store has lost the writes that it acknowledged after the backup: that
+a backend server drains or has left, or that a data centre is out of service.
+The writers repeat them within seconds. Until then, or for ``HOLD_SECONDS``
+after the first lists from the restored store, those lists do not override the
+earlier state.
 
 Examples:
     >>> from daisypick_core.serving import backend_server
@@ -28,45 +29,45 @@
 
 from daisypick_core.serving import backend_server
 
-# Operators and backend servers write again within two seconds of the store's
-# return; the rest is the time of a heartbeat and of our reading.
+# Operators and backend servers repeat their writes within two seconds after the
+# restore; the rest covers a heartbeat and the delay of reading the lists.
 HOLD_SECONDS = 6.0
-# How long the names of servers that left are kept: the age of the oldest copy
-# that names them still.
-_LEFT_SECONDS = 30.0
-_SERVERS = "servers"
-_OUT = "out"
+# How long removed servers are remembered: the age of the oldest backup that
+# still lists them.
+_REMOVED_MEMORY_SECONDS = 30.0
+_SERVER_LIST = "servers"
+_DATA_CENTRE_LIST = "out"
 
 
 class RestoreHold:
-    """Closed servers and data centres that a restored store has forgotten.
+    """Servers and data centres whose closing a restored store may have lost.
 
     Attributes:
-        is_on: Whether something may be held back.
+        is_on: Whether a hold is active.
     """
 
     def __init__(self) -> None:
         self.is_on = False
         self._until = 0.0
-        # Lists that were not read since the store's return.
+        # Lists that were not read since the restore.
         self._unread: set[str] = set()
-        self._left_at_by_start: dict[tuple[str, int], float] = {}
-        self._closed_starts: set[tuple[str, int]] = set()
-        self._gone_starts: set[tuple[str, int]] = set()
-        self._held_out: set[str] = set()
-        self._listed_by_name: dict[str, backend_server.BackendServer] = {}
+        self._removed_at_by_instance: dict[tuple[str, int], float] = {}
+        self._draining_instances: set[tuple[str, int]] = set()
+        self._removed_instances: set[tuple[str, int]] = set()
+        self._held_data_centres: set[str] = set()
+        self._withheld_by_name: dict[str, backend_server.BackendServer] = {}
         self._listed_out: set[str] = set()
 
     def note_left(
         self, server: backend_server.BackendServer, now: float
     ) -> None:
-        """Take that a server's entry was removed."""
-        self._left_at_by_start.pop(_find_start(server), None)
-        self._left_at_by_start[_find_start(server)] = now
-        for start, at in list(self._left_at_by_start.items()):
-            if now - at < _LEFT_SECONDS:
+        """Record that a server's entry was removed."""
+        self._removed_at_by_instance.pop(_make_instance_key(server), None)
+        self._removed_at_by_instance[_make_instance_key(server)] = now
+        for instance, removed_at in list(self._removed_at_by_instance.items()):
+            if now - removed_at < _REMOVED_MEMORY_SECONDS:
                 break
-            del self._left_at_by_start[start]
+            del self._removed_at_by_instance[instance]
 
     def begin(
         self,
@@ -75,19 +76,19 @@
         out: Iterable[str],
         now: float,
     ) -> None:
-        """Hold what is believed now; a hold that is on goes on from here."""
+        """Hold the current state; an active hold is extended."""
         self.is_on = True
         self._until = now + HOLD_SECONDS
-        self._unread = {_SERVERS, _OUT}
-        self._closed_starts.update(
-            _find_start(server) for server in servers if server.draining
+        self._unread = {_SERVER_LIST, _DATA_CENTRE_LIST}
+        self._draining_instances.update(
+            _make_instance_key(server) for server in servers if server.draining
         )
-        self._gone_starts.update(
-            start
-            for start, at in self._left_at_by_start.items()
-            if now - at < _LEFT_SECONDS
+        self._removed_instances.update(
+            instance
+            for instance, removed_at in self._removed_at_by_instance.items()
+            if now - removed_at < _REMOVED_MEMORY_SECONDS
         )
-        self._held_out.update(out)
+        self._held_data_centres.update(out)
 
     def _note_read(self, kind: str, now: float) -> None:
         if kind in self._unread:
@@ -97,61 +98,65 @@
     def filter_servers(
         self, servers: Iterable[backend_server.BackendServer], now: float
     ) -> list[backend_server.BackendServer]:
-        """Return the servers of a list, those that were closed still so."""
+        """Return the servers of a list with the held state applied.
+
+        Servers that were draining still drain, and removed ones are left out.
+        """
         if not self.is_on:
             return list(servers)
-        self._note_read(_SERVERS, now)
+        self._note_read(_SERVER_LIST, now)
         kept = []
-        self._listed_by_name.clear()
+        self._withheld_by_name.clear()
         for server in servers:
-            start = _find_start(server)
-            if start in self._gone_starts:
-                self._listed_by_name[server.name] = server
-            elif start in self._closed_starts and not server.draining:
-                self._listed_by_name[server.name] = server
+            instance = _make_instance_key(server)
+            if instance in self._removed_instances:
+                self._withheld_by_name[server.name] = server
+            elif instance in self._draining_instances and not server.draining:
+                self._withheld_by_name[server.name] = server
                 kept.append(server._replace(draining=True))
             else:
                 kept.append(server)
         return kept
 
     def filter_out(self, out: Iterable[str], now: float) -> set[str]:
-        """Return the data centres that are out by a list or were before."""
-        self._note_read(_OUT, now)
+        """Return the data centres out of service by the list or the hold."""
+        self._note_read(_DATA_CENTRE_LIST, now)
         self._listed_out = set(out)
-        return self._listed_out | self._held_out
+        return self._listed_out | self._held_data_centres
 
     def release_server(self, name: str) -> None:
-        """Take that an entry was written after the store's return."""
-        self._listed_by_name.pop(name, None)
+        """Stop holding a server whose entry was written after the restore."""
+        self._withheld_by_name.pop(name, None)
 
     def note_out(self, data_centre: str, *, out: bool) -> None:
-        """Take that a data centre was taken out or back since the list."""
+        """Record a change of a data centre's state since the list."""
         if out:
             self._listed_out.add(data_centre)
         else:
             self._listed_out.discard(data_centre)
-            self._held_out.discard(data_centre)
+            self._held_data_centres.discard(data_centre)
 
     def is_over(self, now: float) -> bool:
-        """Tell whether a hold is to be ended."""
+        """Return whether an active hold has expired."""
         return self.is_on and not self._unread and now >= self._until
 
     def end(
         self,
     ) -> tuple[list[backend_server.BackendServer], set[str]]:
-        """End the hold; return what the store's lists said all the while.
+        """End the hold and return the state of the store's lists.
 
         Returns:
-            The servers that were held back, and the data centres out.
+            The servers that were held back, and the data centres that are out
+            of service.
         """
-        held = list(self._listed_by_name.values())
+        withheld = list(self._withheld_by_name.values())
         self.is_on = False
-        self._closed_starts.clear()
-        self._gone_starts.clear()
-        self._held_out.clear()
-        self._listed_by_name.clear()
-        return held, set(self._listed_out)
+        self._draining_instances.clear()
+        self._removed_instances.clear()
+        self._held_data_centres.clear()
+        self._withheld_by_name.clear()
+        return withheld, set(self._listed_out)
 
 
-def _find_start(server: backend_server.BackendServer) -> tuple[str, int]:
+def _make_instance_key(server: backend_server.BackendServer) -> tuple[str, int]:
     return server.name, server.born
--- a/packages/daisypick_core/src/daisypick_core/serving/route_table.py
+++ b/packages/daisypick_core/src/daisypick_core/serving/route_table.py
@@ -1,4 +1,4 @@
-"""Which route a request takes: by host, then by the longest path prefix.
+"""Matches requests to routes by host, then by the longest path prefix.
 
 Examples:
     >>> def make(name, prefix):
@@ -25,20 +25,21 @@
 
 
 class Route(typing.NamedTuple):
-    """What operators say of the requests below a path.
+    """Settings for the requests below a path.
 
     Attributes:
-        name: For logs.
+        name: Name for logs.
         host: Host header in lower case, without a port.
         path_prefix: Begins and ends with a slash.
-        kind: ``SAFE`` (may run again), ``UNSAFE`` (runs at most once) or
-            ``STREAMING`` (answers with events).
-        timeout: Longest that a caller is kept waiting, seconds.
-        objective: Latency objective, to the first event of a stream, seconds.
-        weight_by_service: Services and their parts of the requests.
-        max_attempts: Most backend servers that one request is sent to.
-        public: Whether no API key is asked for.
-        resumable: Whether a broken stream may go on at another server.
+        kind: ``SAFE`` (may be repeated), ``UNSAFE`` (runs at most once) or
+            ``STREAMING`` (responds with events).
+        timeout: Maximum time until the response, in seconds.
+        objective: Latency objective in seconds; for a stream up to its first
+            event.
+        weight_by_service: Services and their shares of the requests.
+        max_attempts: Maximum number of backend servers tried per request.
+        public: Whether requests need no API key.
+        resumable: Whether another server may resume a broken stream.
     """
 
     name: str
@@ -54,11 +55,11 @@
 
     @property
     def may_run_again(self) -> bool:
-        """Whether a second run does no harm."""
+        """Whether requests are idempotent and may be repeated."""
         return self.kind == SAFE
 
     def pick_service(self, rng: random.Random) -> str:
-        """Return a service, at random by weight."""
+        """Return a service, chosen at random by weight."""
         names = list(self.weight_by_service)
         if len(names) == 1:
             return names[0]
@@ -73,8 +74,8 @@
         self._routes_by_host: dict[str, list[Route]] = {}
         for route in routes:
             self._routes_by_host.setdefault(route.host, []).append(route)
-        for at_host in self._routes_by_host.values():
-            at_host.sort(key=lambda route: -len(route.path_prefix))
+        for host_routes in self._routes_by_host.values():
+            host_routes.sort(key=lambda route: -len(route.path_prefix))
 
     def find(self, host: str, target: str) -> Route | None:
         """Return the route of a request, or ``None``."""
--- a/packages/daisypick_core/src/daisypick_core/serving/send_window.py
+++ b/packages/daisypick_core/src/daisypick_core/serving/sliding_window.py
@@ -1,7 +1,7 @@
-"""How often something happened in a sliding window.
+"""Counts events in a sliding window.
 
 Examples:
-    >>> window = SendWindow(seconds=1.0)
+    >>> window = SlidingWindow(seconds=1.0)
     >>> window.add(now=0.0); window.add(now=0.5)
     >>> window.count(now=0.9), window.count(now=1.2)
     (2, 1)
@@ -11,11 +11,11 @@
 import math
 
 
-class SendWindow:
-    """Times of the last sends, oldest first.
+class SlidingWindow:
+    """Times of the recent events, oldest first.
 
     Attributes:
-        last: Time of the newest send.
+        last: Time of the newest event.
     """
 
     __slots__ = ("_seconds", "_times", "last")
@@ -26,16 +26,16 @@
         self._times: collections.deque[float] = collections.deque()
 
     def set_seconds(self, seconds: float) -> None:
-        """Take another length; what was counted stays as far as it lies in."""
+        """Set the length; events within the new window still count."""
         self._seconds = seconds
 
     def add(self, now: float) -> None:
-        """Count one."""
+        """Count an event at ``now``."""
         self._times.append(now)
         self.last = now
 
     def count(self, now: float) -> int:
-        """Return how many lie within the window before ``now``."""
+        """Return the number of events in the window that ends at ``now``."""
         oldest = now - self._seconds
         while self._times and self._times[0] <= oldest:
             self._times.popleft()
--- a/packages/daisypick_core/tests/serving/test_directory.py
+++ b/packages/daisypick_core/tests/serving/test_directory.py
@@ -1,11 +1,11 @@
-"""Backend servers through the outages of the list that names them."""
+"""The directory of backend servers during outages of the platform's list."""
 
 from daisypick_core.serving import backend_server
 from daisypick_core.serving import directory as directories
 
 
 def _server(name, **changes):
-    words = {
+    fields = {
         "service": "s",
         "address": ("10.0.0.1", 80),
         "data_centre": "a",
@@ -15,25 +15,25 @@
         "born": 1,
         **changes,
     }
-    return backend_server.BackendServer(name=name, **words)
+    return backend_server.BackendServer(name=name, **fields)
 
 
 def _names(directory):
     return [server.name for server in directory.find_ready("s")]
 
 
-def test_entry_that_goes_in_calm_times_is_gone_at_once():
+def test_entry_removed_without_outage_is_dropped_at_once():
     directory = directories.Directory()
     directory.replace_all([_server("i-1"), _server("i-2")], now=10.0)
     directory.remove("i-1", now=11.0)
     assert _names(directory) == ["i-2"]
 
 
-def test_entries_that_lapsed_with_the_store_stay_until_they_may_be_back():
-    """The store is away for five seconds and forgets every server.
+def test_entries_lost_in_an_outage_stay_until_servers_can_register_again():
+    """Guards against an empty list of servers after an outage of the store.
 
-    They live and announce themselves again within two seconds; callers in
-    between must not find an empty list.
+    The store is unavailable for five seconds and loses every server. The
+    servers are live and register again within two seconds.
     """
     directory = directories.Directory()
     directory.replace_all([_server("i-1"), _server("i-2")], now=0.0)
@@ -47,7 +47,7 @@
     assert _names(directory) == ["i-2"]
 
 
-def test_nothing_expires_while_the_store_is_away():
+def test_nothing_expires_while_the_store_is_unavailable():
     directory = directories.Directory()
     directory.replace_all([_server("i-1")], now=0.0)
     directory.note_outage(now=1.0)
@@ -56,7 +56,7 @@
     assert _names(directory) == ["i-1"]
 
 
-def test_draining_and_taken_out_servers_get_no_work():
+def test_draining_and_out_of_service_servers_get_no_requests():
     directory = directories.Directory()
     directory.replace_all(
         [
@@ -71,18 +71,19 @@
     assert directory.find_closed("s") == ["i-1", "i-2"]
 
 
-def test_servers_of_a_data_centre_that_is_back_are_taken_for_cold():
-    """A data centre is taken out and back; its servers have turned cold.
+def test_servers_of_a_reenabled_data_centre_are_treated_as_cold():
+    """Guards against overloading servers that have turned cold unnoticed.
 
-    Their entries say so a second later. Requests that rush back in that
-    second would be more than cold servers bear.
+    A data centre is taken out of service and enabled again. Its servers have
+    turned cold, but their entries show it a second later; the requests of that
+    second would exceed what cold servers can handle.
     """
     directory = directories.Directory()
-    back, other = _server("i-1", data_centre="b"), _server("i-2")
-    directory.replace_all([back, other], now=0.0)
+    reenabled, other = _server("i-1", data_centre="b"), _server("i-2")
+    directory.replace_all([reenabled, other], now=0.0)
     directory.set_out({"b"}, now=1.0)
     directory.set_out((), now=6.0)
-    assert directory.find_cold_until(back, 3.0) == 9.0
+    assert directory.find_cold_until(reenabled, 3.0) == 9.0
     assert directory.find_cold_until(other, 3.0) == 0.0
-    late = back._replace(cold_until=11.0)
-    assert directory.find_cold_until(late, 3.0) == 11.0
+    updated = reenabled._replace(cold_until=11.0)
+    assert directory.find_cold_until(updated, 3.0) == 11.0
--- a/packages/daisypick_core/tests/serving/test_limits.py
+++ b/packages/daisypick_core/tests/serving/test_limits.py
@@ -1,4 +1,4 @@
-"""Bounds that all routers together keep, each by its own part."""
+"""Fleet-wide limits that each router enforces by its own share."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 def _send_all(limits, *, rate, seconds):
-    """Return when requests go to a server, each as soon as it may."""
+    """Return the times of requests, each sent as soon as it is allowed."""
     return [
         0.01 * tick
         for tick in range(int(seconds * 100))
@@ -27,7 +27,7 @@
 
 
 def _find_most(sent, seconds):
-    """Return the most requests in any second."""
+    """Return the maximum number of requests in any second."""
     return max(
         sum(start <= at < start + 1.0 for at in sent)
         for start in (0.01 * tick for tick in range(int(seconds * 100)))
@@ -35,12 +35,12 @@
 
 
 @pytest.mark.parametrize("routers", [1, 5, 12, 27, 100, 690])
-def test_cold_server_gets_no_more_than_it_bears_from_all_routers(routers):
-    """Routers that know nothing of each other's sends send all they may.
+def test_all_routers_together_stay_within_the_rate_of_a_cold_server(routers):
+    """Guards against the crash of a cold server, which loses its responses.
 
-    A server is cold in a fleet of more routers than it bears requests; each
-    router is within a bound of its own, and in the first second all of them
-    send one. It crashes, and its callers lose their answers.
+    Routers do not know of each other's requests. With more routers than
+    requests per second that the server can handle, each router could stay
+    within a limit of its own and yet all send one in the first second.
     """
     names = [f"r-{number}" for number in range(routers)]
     limits = [_make_limit(name, names) for name in names]
@@ -49,11 +49,12 @@
     assert len(sent) >= 40
 
 
-def test_cold_server_bears_routers_that_come_go_and_are_not_told():
-    """Thirty routers, each of which misses some of the others or has some more.
+def test_cold_rate_holds_when_routers_have_different_member_lists():
+    """Guards against overloading a cold server while lists of routers differ.
 
-    Machines were added and others lost, and not all routers have heard. The
-    platform allows half as much again as the rate, and five.
+    Routers were added and removed, and each of thirty routers misses some of
+    the others or still lists removed ones. The platform tolerates 1.5 times
+    the rate plus five.
     """
     rng = random.Random(3)
     names = [f"r-{number}" for number in range(30)]
@@ -67,16 +68,17 @@
         assert _find_most(sent, 3.0) <= 12 * 1.5 + 5
 
 
-def test_router_that_knows_nobody_sends_nothing_to_a_cold_server():
-    """All routers start again while the store is away, beside a cold server.
+def test_router_without_a_member_list_sends_nothing_to_a_cold_server():
+    """Guards against overloading a cold server after a restart of all routers.
 
-    Each would take itself for one of few, and all together send too much.
+    While the store is unavailable, each router would assume that there are few
+    routers, and all of them together would exceed the rate.
     """
     limits = [_make_limit(f"r-{number}", []) for number in range(27)]
     assert _send_all(limits, rate=12.0, seconds=2.0) == []
 
 
-def test_sends_to_a_warm_server_count_when_it_turns_cold():
+def test_requests_to_a_warm_server_count_when_it_turns_cold():
     limit = _make_limit("r-1", ["r-1"])
     for _ in range(30):
         limit.note("i-1", now=5.0)
@@ -85,7 +87,7 @@
 
 
 def test_retries_of_all_routers_stay_within_the_budget():
-    """Five routers send again whatever they may, for a minute."""
+    """Five routers retry as much as they are allowed, for a minute."""
     budgets = [
         retry_budget.RetryBudget(ratio=0.2, window_seconds=10.0, extra=56.0)
         for _ in range(5)
@@ -102,13 +104,13 @@
                 retries.append(now)
     for begin in range(0, 500, 7):
         start = 0.1 * begin
-        asked = sum(start <= at < start + 10.0 for at in requests)
-        again = sum(start <= at < start + 10.0 for at in retries)
-        assert again <= 0.2 * asked + 56.0
+        sent = sum(start <= at < start + 10.0 for at in requests)
+        retried = sum(start <= at < start + 10.0 for at in retries)
+        assert retried <= 0.2 * sent + 56.0
     assert len(retries) > 300
 
 
-def test_server_is_tried_again_gently():
+def test_ejection_time_doubles_after_failed_retry_and_success_resets_it():
     outcomes = outcome_records.Outcomes()
     outcomes.note_failure("i-1", now=0.0, certain=True)
     assert outcomes.is_aside("i-1", now=0.49)
@@ -119,7 +121,7 @@
     assert not outcomes.is_aside("i-1", now=1.5)
 
 
-def test_single_errors_set_nothing_aside():
+def test_fewer_than_three_consecutive_failures_eject_nothing():
     outcomes = outcome_records.Outcomes()
     for now in range(10):
         outcomes.note_failure("i-1", now=float(now))
@@ -128,8 +130,8 @@
         assert not outcomes.is_aside("i-1", now=float(now))
 
 
-def test_cold_limit_remembers_only_what_it_sent_lately():
-    """Guards against a memory of every server that a router ever used."""
+def test_cold_limit_expires_servers_without_recent_requests():
+    """Guards against memory that grows with every server ever used."""
     parts = cold_parts.ColdParts()
     parts.set_routers(["r-1"])
     limit = cold_limit.ColdLimit(router="r-1", parts=parts)
--- a/packages/daisypick_core/tests/serving/test_overload.py
+++ b/packages/daisypick_core/tests/serving/test_overload.py
@@ -1,4 +1,4 @@
-"""When a process takes itself out of rotation, and when it comes back."""
+"""When a process reports not ready because of overload, and ready again."""
 
 from daisypick_core.serving import overload as overloads
 
@@ -11,7 +11,7 @@
     return now
 
 
-def test_one_freeze_is_no_overload():
+def test_single_freeze_is_no_overload():
     overload = overloads.Overload()
     overload.note_lag(5.0, 5.0)
     assert overload.is_ready
@@ -19,11 +19,12 @@
     assert overload.is_ready
 
 
-def test_lasting_lag_ends_connections_only_after_the_platform_took_note():
-    """A flood arrives on kept connections of one small VM.
+def test_lasting_lag_closes_connections_only_after_the_readiness_probes():
+    """Guards against callers that reconnect to the same overloaded VM.
 
-    Ending them at once would bring their callers back to the same VM, which
-    the platform still counts as ready.
+    A traffic spike arrives on persistent connections of one small VM. Closed
+    at once, its callers would return while the platform still lists the VM as
+    ready.
     """
     overload = overloads.Overload()
     began = _feed(overload, 0.3, begin=0.0, count=3)
@@ -34,12 +35,12 @@
     assert overload.ends_connections(later)
 
 
-def test_it_is_ready_again_after_some_seconds_without_lag():
+def test_process_is_ready_again_only_after_the_minimum_time():
     overload = overloads.Overload()
     began = _feed(overload, 0.3, begin=0.0, count=3)
-    calm = _feed(overload, 0.0, begin=began, count=60)
-    assert calm - began < 4.0
+    recovered = _feed(overload, 0.0, begin=began, count=60)
+    assert recovered - began < 4.0
     assert not overload.is_ready
-    assert not overload.ends_connections(calm)
-    _feed(overload, 0.0, begin=calm, count=40)
+    assert not overload.ends_connections(recovered)
+    _feed(overload, 0.0, begin=recovered, count=40)
     assert overload.is_ready
