--- a/packages/daisypick_core/src/daisypick_core/messages/__init__.py
+++ b/packages/daisypick_core/src/daisypick_core/messages/__init__.py
@@ -1,6 +1,6 @@
-"""What the processes of the fleet say to each other.
+"""Messages between the processes of the fleet.
 
-* ``load``: an agent's state, carried on every answer.
-* ``attempt``: a request's one try at one agent, and its wire envelope.
-* ``frame``: the parts of an answer that is streamed from agent to router.
+* ``load``: an agent's state, sent with every response.
+* ``attempt``: one attempt of a request at one agent, and its wire envelope.
+* ``frame``: the frames of a response streamed from an agent to a router.
 """
--- a/packages/daisypick_core/src/daisypick_core/messages/attempt.py
+++ b/packages/daisypick_core/src/daisypick_core/messages/attempt.py
@@ -1,33 +1,34 @@
-"""One try of a request at one agent.
+"""One attempt to run a request at one agent.
 
-A request may need several attempts, one after the other: each is addressed
-to one incarnation of one agent, so that a restarted agent can refuse what
-was meant for its predecessor.
+A request may need several attempts in sequence. Each is addressed to one
+incarnation of one agent, so that a restarted agent can reject attempts for its
+previous incarnation.
 """
 
 import typing
 
 
 class Attempt(typing.NamedTuple):
-    """One try of a request at one agent.
+    """One attempt to run a request at one agent.
 
     Attributes:
         attempt_id: Unique id of the attempt.
         request_id: Id of the request, the same for all its attempts.
-        organisation: Name of the organisation that pays.
+        organisation: Name of the organisation that is charged.
         service: Name of the service.
-        estimate: Expected cost, tokens.
-        deadline: Time by which it must have started, seconds on the clock
+        estimate: Expected cost in tokens.
+        deadline: Time by which it must have started, in seconds on the clock
             of the process that holds the value.
         incarnation: Incarnation of the agent that it is addressed to.
-        epoch: Epoch of that incarnation, as last heard by the router.
+        epoch: Latest epoch of that incarnation that the router knows.
         router: Address of the router, ``host:port``.
-        is_repeatable: Whether a second run does no harm.
-        idempotency_key: The caller's key, if any.
-        fingerprint: Hash of method, path and body, to tell reuse of a key.
+        is_repeatable: Whether the request may safely run twice.
+        idempotency_key: The caller's idempotency key, if any.
+        fingerprint: Hash of method, path and body, to detect reuse of a key
+            for another request.
         prefix: Hash of the prompt's prefix for affinity, ``""`` if none.
-        is_stream: Whether the answer streams, so that its first token shows
-            how fast the backend server is.
+        is_stream: Whether the response is streamed, so that its first token
+            shows the speed of the backend server.
     """
 
     attempt_id: str
@@ -47,11 +48,11 @@
 
 
 class Envelope(typing.TypedDict):
-    """An attempt on the wire, in the header ``Daisypick-Envelope``.
+    """An attempt as encoded in the header ``Daisypick-Envelope``.
 
-    ``deadline_in`` is relative (seconds), since clocks are not shared;
-    the other fields are those of ``Attempt``. ``method``, ``path`` and
-    ``headers`` are what the backend server shall see.
+    ``deadline_in`` is relative (seconds), because the processes have no common
+    clock; the other fields are those of ``Attempt``. ``method``, ``path`` and
+    ``headers`` are those of the request to the backend server.
     """
 
     attempt_id: str
--- a/packages/daisypick_core/src/daisypick_core/messages/frame.py
+++ b/packages/daisypick_core/src/daisypick_core/messages/frame.py
@@ -1,9 +1,9 @@
-"""The parts of an answer that is streamed from an agent to a router.
+"""The frames of a response that is streamed from an agent to a router.
 
-An answer is a sequence of frames, one JSON array a line. It is whole only
-if it closes with an ``END`` or a ``REFUSED`` frame; a stream that breaks off
-before is resumed from the offset reached. ``BEAT`` frames show that the agent
-lives while it has nothing to say.
+A response is a sequence of frames, one JSON array per line. It is complete
+only if it ends with an ``END`` or a ``REFUSED`` frame; a stream that ends
+earlier is resumed from the last offset. ``BEAT`` frames are heartbeats that the
+agent sends while it has no other frame to send.
 
 Examples:
     >>> frame = Frame(kind=DATA, offset=0, data=b"hello")
@@ -29,20 +29,20 @@
 
 
 class Detail(typing.TypedDict, total=False):
-    """What a frame says besides its data.
+    """Metadata of a frame.
 
     Attributes:
         load: State of the agent.
-        status: HTTP status of the answer (``HEAD``).
-        headers: HTTP headers of the answer (``HEAD``).
-        prompt_tokens: Tokens read (``END``).
+        status: HTTP status of the response (``HEAD``).
+        headers: HTTP headers of the response (``HEAD``).
+        prompt_tokens: Tokens of the prompt (``END``).
         completion_tokens: Tokens generated (``END``).
         code: Number of the result code (``REFUSED``).
-        reason: Sentence for people (``REFUSED``).
-        retry_after: Seconds (``REFUSED``).
-        size: Bytes of the whole answer (``END``).
+        reason: Human-readable reason (``REFUSED``).
+        retry_after: Retry delay in seconds (``REFUSED``).
+        size: Size of the complete response in bytes (``END``).
         idle_agent: Agent that could start the attempt now (``BEAT``).
-        idle_load: What that agent said of itself (``BEAT``).
+        idle_load: Load that this agent reported (``BEAT``).
     """
 
     load: load_message.Load
@@ -59,13 +59,13 @@
 
 
 class Frame(typing.NamedTuple):
-    """A part of an answer.
+    """One frame of a response.
 
     Attributes:
         kind: One of the constants of this module.
-        offset: Bytes of the answer before this frame's data.
-        data: Bytes of the answer.
-        detail: What else the frame says.
+        offset: Position of the frame's data in the response, in bytes.
+        data: Bytes of the response.
+        detail: Metadata of the frame.
     """
 
     kind: str
@@ -84,11 +84,11 @@
 
 
 def decode_lines(data: bytes) -> tuple[list[Frame], bytes]:
-    """Return the frames of the whole lines, and the rest.
+    """Return the frames of all complete lines, and the remaining bytes.
 
     Raises:
-        msgspec.DecodeError: A line is no frame.
+        msgspec.DecodeError: A line is not a valid frame.
     """
     lines = data.split(b"\n")
-    rest = lines.pop()
-    return [_decoder.decode(line) for line in lines if line], rest
+    remainder = lines.pop()
+    return [_decoder.decode(line) for line in lines if line], remainder
--- a/packages/daisypick_core/src/daisypick_core/messages/load.py
+++ b/packages/daisypick_core/src/daisypick_core/messages/load.py
@@ -1,7 +1,7 @@
-"""An agent's state as it travels on every answer.
+"""An agent's state, which is sent with every response.
 
-A router needs to be only roughly right about an agent, so the load is never
-asked for: it rides on answers that flow anyway.
+A router needs only an approximate view of an agent, so the load is never
+polled: it is piggybacked on responses.
 
 Examples:
     >>> load = Load(incarnation="a1", epoch=0, generation=7, limit=8,
@@ -14,16 +14,16 @@
 
 
 class Load(typing.NamedTuple):
-    """What an agent says of itself.
+    """The load that an agent reports.
 
     Attributes:
-        incarnation: Random id of this start of the agent.
-        epoch: Count of the agent's barring periods, see ``gate.attempts``.
+        incarnation: Random id of this run of the agent process.
+        epoch: Number of the agent's current epoch, see ``gate.attempts``.
         generation: Generation of the configuration in force.
-        limit: Attempts that may run at once, now.
-        running: Attempts that run.
-        waiting: Attempts that wait at the agent.
-        is_draining: Whether nothing new starts.
+        limit: Current limit of concurrent attempts.
+        running: Number of running attempts.
+        waiting: Number of attempts queued at the agent.
+        is_draining: Whether the agent starts no new attempts.
     """
 
     incarnation: str
@@ -36,7 +36,7 @@
 
     @property
     def free(self) -> int:
-        """Slots that neither run nor are spoken for by waiting attempts."""
+        """Slots that are neither in use nor needed by queued attempts."""
         if self.is_draining:
             return 0
         return max(0, self.limit - self.running - self.waiting)
--- a/packages/daisypick_core/src/daisypick_core/queues/__init__.py
+++ b/packages/daisypick_core/src/daisypick_core/queues/__init__.py
@@ -1,6 +1,6 @@
-"""Waiting work, as routers and gates keep it.
+"""Queue data structures that routers and gates share.
 
-* ``keyed_queues``: a first-in first-out queue a key, with deadlines.
+* ``keyed_queues``: a first-in first-out queue per key, with deadlines.
 * ``indexed_set``: a set with random choice in constant time.
-* ``drain_rate``: how fast a queue empties, for true ``retry_after`` values.
+* ``drain_rate``: estimates how fast a queue drains, for ``retry_after``.
 """
--- a/packages/daisypick_core/src/daisypick_core/queues/drain_rate.py
+++ b/packages/daisypick_core/src/daisypick_core/queues/drain_rate.py
@@ -1,7 +1,7 @@
-"""How fast a queue empties, for ``retry_after`` values that are true.
+"""Estimates how fast a queue drains, for accurate ``retry_after`` values.
 
-A caller that is refused should come back when there is room, neither before
-(its request is refused again) nor long after (capacity idles).
+A rejected caller should retry when the queue has room, neither earlier (its
+request is rejected again) nor much later (capacity stays idle).
 
 Examples:
     >>> rate = DrainRate()
@@ -14,28 +14,30 @@
 """
 
 _SMOOTHING = 0.1
-_UNKNOWN = 1.0
-_SHORTEST = 0.05
-_LONGEST = 30.0
+_DEFAULT_SECONDS = 1.0
+_MIN_SECONDS = 0.05
+_MAX_SECONDS = 30.0
 
 
 class DrainRate:
     """A moving average of the seconds between departures."""
 
     def __init__(self) -> None:
-        self._last: float | None = None
-        self._interval: float | None = None
+        self._last_departure: float | None = None
+        self._mean_interval: float | None = None
 
     def left(self, now: float) -> None:
-        """Note that an item left the queue and was served."""
-        if self._last is not None:
-            sample = now - self._last
-            known = sample if self._interval is None else self._interval
-            self._interval = known + _SMOOTHING * (sample - known)
-        self._last = now
+        """Record that an item left the queue and was served."""
+        if self._last_departure is not None:
+            sample = now - self._last_departure
+            mean = (
+                sample if self._mean_interval is None else self._mean_interval
+            )
+            self._mean_interval = mean + _SMOOTHING * (sample - mean)
+        self._last_departure = now
 
     def retry_after(self, ahead: int) -> float:
-        """Return the seconds until ``ahead`` items have left."""
-        if self._interval is None:
-            return _UNKNOWN
-        return min(_LONGEST, max(_SHORTEST, ahead * self._interval))
+        """Return the estimated seconds until ``ahead`` items have left."""
+        if self._mean_interval is None:
+            return _DEFAULT_SECONDS
+        return min(_MAX_SECONDS, max(_MIN_SECONDS, ahead * self._mean_interval))
--- a/packages/daisypick_core/src/daisypick_core/queues/indexed_set.py
+++ b/packages/daisypick_core/src/daisypick_core/queues/indexed_set.py
@@ -15,10 +15,10 @@
 
 
 class IndexedSet(typing.Generic[Item]):
-    """A set kept as a list, with the position of each item.
+    """A set stored as a list, with the index of each item.
 
     Attributes:
-        items: The items in no stated order; not to be changed by callers.
+        items: The items in unspecified order; callers must not modify it.
     """
 
     def __init__(self) -> None:
@@ -40,7 +40,7 @@
         return True
 
     def discard(self, item: Item) -> bool:
-        """Take an item out; return whether it was there."""
+        """Remove an item; return whether it was present."""
         position = self._position_by_item.pop(item, None)
         if position is None:
             return False
@@ -51,5 +51,5 @@
         return True
 
     def put(self, item: Item, *, is_member: bool) -> bool:
-        """Make an item a member or not; return whether that changed."""
+        """Add or remove an item; return whether the set changed."""
         return self.add(item) if is_member else self.discard(item)
--- a/packages/daisypick_core/src/daisypick_core/queues/keyed_queues.py
+++ b/packages/daisypick_core/src/daisypick_core/queues/keyed_queues.py
@@ -1,10 +1,10 @@
 """A first-in first-out queue for each key, with deadlines.
 
-Routers and gates both keep work by organisation, take an item out of the
-middle (a withdrawal, a caller that has gone) and refuse what waited past its
-deadline. At tens of thousands of items each of these must cost the same
-however long the queues are: items are found by id, and deadlines are kept in
-a heap whose stale entries are skipped and now and then swept out.
+Routers and gates both queue work by organisation, remove items from the middle
+(a withdrawal, a caller that disconnected) and reject items whose deadline has
+passed. With tens of thousands of items the cost of each operation must not
+depend on the length of the queues: items are found by id, and deadlines are
+kept in a heap whose stale entries are skipped and periodically removed.
 
 Examples:
     >>> import collections
@@ -27,15 +27,15 @@
 import heapq
 import typing
 
-_SWEEP_MINIMUM = 1024
+_COMPACTION_MINIMUM = 1024
 
 
 class HasDeadline(typing.Protocol):
-    """An item that must start by a time."""
+    """An item with a deadline."""
 
     @property
     def deadline(self) -> float:
-        """Time by which it must have started, seconds."""
+        """Time in seconds by which it must have started."""
 
 
 Key = typing.TypeVar("Key", bound=Hashable)
@@ -43,7 +43,7 @@
 
 
 class KeyedQueues(typing.Generic[Key, Item]):
-    """Queues by key; a key without items is forgotten."""
+    """Queues by key; a key without items is dropped."""
 
     def __init__(self) -> None:
         self._queue_by_key: collections.OrderedDict[
@@ -59,18 +59,18 @@
         return item_id in self._key_by_id
 
     def keys(self) -> KeysView[Key]:
-        """Return the keys that have items, in turn."""
+        """Return the keys that have items, in round-robin order."""
         return self._queue_by_key.keys()
 
     def size(self, key: Key) -> int:
-        """Return how many items a key has."""
+        """Return the number of items of a key."""
         return len(self._queue_by_key.get(key, ()))
 
     def next_key(self) -> Key:
-        """Return the key whose turn it is and put it behind the others.
+        """Return the next key in round-robin order and move it to the end.
 
         Raises:
-            StopIteration: Nothing waits.
+            StopIteration: All queues are empty.
         """
         key = next(iter(self._queue_by_key))
         self._queue_by_key.move_to_end(key)
@@ -80,44 +80,44 @@
         """Return the key with the most items.
 
         Raises:
-            ValueError: Nothing waits.
+            ValueError: All queues are empty.
         """
         return max(self._queue_by_key, key=self.size)
 
     def append(self, key: Key, item_id: str, item: Item) -> None:
-        """Add an item behind the others of its key."""
+        """Add an item at the end of its key's queue."""
         queue = self._queue_by_key.get(key)
         if queue is None:
             queue = self._queue_by_key[key] = collections.OrderedDict()
         queue[item_id] = item
         self._key_by_id[item_id] = key
         heapq.heappush(self._deadlines, (item.deadline, item_id))
-        self._sweep()
+        self._compact_deadlines()
 
     def prepend(self, key: Key, item_id: str, item: Item) -> None:
-        """Add an item before the others of its key."""
+        """Add an item at the front of its key's queue."""
         self.append(key, item_id, item)
         self._queue_by_key[key].move_to_end(item_id, last=False)
 
     def first(self, key: Key) -> Item | None:
-        """Return the oldest item of a key and leave it there."""
+        """Return the oldest item of a key without removing it."""
         queue = self._queue_by_key.get(key)
         return next(iter(queue.values())) if queue else None
 
     def pop_first(self, key: Key) -> Item:
-        """Take the oldest item of a key."""
+        """Remove and return the oldest item of a key."""
         return self._pop_end(key, last=False)
 
     def pop_last(self, key: Key) -> Item:
-        """Take the newest item of a key."""
+        """Remove and return the newest item of a key."""
         return self._pop_end(key, last=True)
 
     def heads(self) -> list[Item]:
-        """Return the oldest item of each key, in turn."""
+        """Return the oldest item of each key, in round-robin order."""
         return [next(iter(q.values())) for q in self._queue_by_key.values()]
 
     def remove(self, item_id: str) -> Item | None:
-        """Take an item out, ``None`` if it does not wait."""
+        """Remove and return an item; ``None`` if it is not queued."""
         key = self._key_by_id.pop(item_id, None)
         if key is None:
             return None
@@ -126,7 +126,7 @@
         return item
 
     def clear(self) -> list[Item]:
-        """Take all items out."""
+        """Remove and return all items."""
         items = [i for q in self._queue_by_key.values() for i in q.values()]
         self._queue_by_key.clear()
         self._key_by_id.clear()
@@ -134,7 +134,7 @@
         return items
 
     def expire(self, now: float) -> list[Item]:
-        """Take out the items whose deadline has come."""
+        """Remove and return the items whose deadline has passed."""
         expired = []
         while self._deadlines and self._deadlines[0][0] <= now:
             item_id = heapq.heappop(self._deadlines)[1]
@@ -145,7 +145,7 @@
         return expired
 
     def next_deadline(self) -> float | None:
-        """Return the earliest deadline, ``None`` if nothing waits."""
+        """Return the earliest deadline, ``None`` if all queues are empty."""
         while self._deadlines and self._deadlines[0][1] not in self._key_by_id:
             heapq.heappop(self._deadlines)
         return self._deadlines[0][0] if self._deadlines else None
@@ -164,11 +164,13 @@
         if not self._queue_by_key[key]:
             del self._queue_by_key[key]
 
-    def _sweep(self) -> None:
-        # Items leave long before their deadline, and their heap entries stay
-        # behind: without the sweep a minute of deadlines at 10,000 requests a
-        # second is 600,000 dead entries.
-        if len(self._deadlines) < _SWEEP_MINIMUM + 2 * len(self._key_by_id):
+    def _compact_deadlines(self) -> None:
+        # Items leave long before their deadline, and their heap entries
+        # remain: without compaction a minute of deadlines at 10,000 requests
+        # per second leaves 600,000 stale entries.
+        if len(self._deadlines) < _COMPACTION_MINIMUM + 2 * len(
+            self._key_by_id
+        ):
             return
         live = {e for e in self._deadlines if e[1] in self._key_by_id}
         self._deadlines = list(live)
--- a/packages/daisypick_core/src/daisypick_core/results/__init__.py
+++ b/packages/daisypick_core/src/daisypick_core/results/__init__.py
@@ -1,5 +1,5 @@
-"""Numbered result codes and the value that stands for a failure.
+"""Numbered result codes and the value that represents a failure.
 
 * ``codes``: the registry of codes, ``codes.by_number``.
-* ``failure``: ``Failure``, returned in place of a value, with its reason.
+* ``failure``: ``Failure``, returned instead of a value, with its reason.
 """
--- a/packages/daisypick_core/src/daisypick_core/results/codes.py
+++ b/packages/daisypick_core/src/daisypick_core/results/codes.py
@@ -1,13 +1,13 @@
 """The registry of numbered result codes.
 
 A code is a stable number that callers, operators and dashboards can rely on;
-its title and HTTP status may be reworded. ``docs/RESULT_CODES.md`` is the
-table of this registry and CI compares the two. The thousands group codes by
-who can act on them:
+its title and HTTP status may change. ``docs/RESULT_CODES.md`` is the table of
+this registry, and CI compares the two. The thousands group codes by the area
+that can resolve them:
 
 * 1xxx the caller's request, 2xxx capacity, 3xxx the gate of a backend server,
-* 4xxx at most once, 5xxx backend servers, 6xxx configuration,
-* 7xxx the platform, 8xxx processes of the fleet among themselves.
+* 4xxx at-most-once execution, 5xxx backend servers, 6xxx configuration,
+* 7xxx the platform, 8xxx communication between processes of the fleet.
 
 Examples:
     >>> UNAUTHENTICATED.number, UNAUTHENTICATED.status
@@ -27,9 +27,9 @@
 
     Attributes:
         number: Stable number, unique in the registry.
-        title: One short sentence for people.
-        status: HTTP status towards callers.
-        ran: ``"no"`` if the request surely did not run and never will,
+        title: One short human-readable sentence.
+        status: HTTP status that callers receive.
+        ran: ``"no"`` if the request certainly did not run and never will,
             ``"unknown"`` if it may have run.
     """
 
@@ -46,7 +46,8 @@
     """Register a code.
 
     Raises:
-        ValueError: ``number`` is taken, or ``ran`` is no known word.
+        ValueError: ``number`` is already defined, or ``ran`` is neither
+            ``"no"`` nor ``"unknown"``.
     """
     if number in by_number:
         raise ValueError(f"number: {number} is taken")
--- a/packages/daisypick_core/src/daisypick_core/results/failure.py
+++ b/packages/daisypick_core/src/daisypick_core/results/failure.py
@@ -1,7 +1,7 @@
-"""The sentinel value that a function returns in place of a result.
+"""The value that a function returns instead of a result when it fails.
 
-A caller asks ``is_failure(value)`` before using the value; the reason says
-which argument or event is at fault.
+Callers check ``is_failure(value)`` before they use the value; the reason names
+the argument or event that caused the failure.
 
 Examples:
     >>> from daisypick_core.results import codes
@@ -18,10 +18,10 @@
 
 
 class Failure(typing.NamedTuple):
-    """A result that is not there, and why.
+    """The code and the reason of a failed operation.
 
     Attributes:
-        code: The numbered code.
+        code: The numbered result code.
         reason: A short sentence that names the offending argument or event.
         retry_after: Seconds after which a retry may succeed, if known.
     """
@@ -37,5 +37,5 @@
 
 
 def is_failure(value: object) -> typing.TypeGuard[Failure]:
-    """Tell whether ``value`` stands for a failure."""
+    """Return whether ``value`` is a failure."""
     return isinstance(value, Failure)
--- a/packages/daisypick_core/tests/queues/test_indexed_set.py
+++ b/packages/daisypick_core/tests/queues/test_indexed_set.py
@@ -3,8 +3,8 @@
 from daisypick_core.queues import indexed_set
 
 
-def test_last_item_is_taken_out_by_an_equal_one():
-    """Guards against an IndexError: the item given was not the one kept."""
+def test_last_item_is_removed_by_an_equal_object():
+    """Guards against an IndexError when the given object is only equal."""
     names = indexed_set.IndexedSet()
     names.add("engine-1")
     names.add("engine-2")
--- a/packages/daisypick_core/tests/queues/test_keyed_queues.py
+++ b/packages/daisypick_core/tests/queues/test_keyed_queues.py
@@ -5,9 +5,9 @@
 Item = collections.namedtuple("Item", "name deadline")
 
 
-def test_dead_deadlines_are_swept():
+def test_stale_heap_entries_are_removed():
     # Items leave long before their deadline. Their heap entries must not
-    # pile up for a minute of deadlines.
+    # accumulate for a minute of deadlines.
     subject = keyed_queues.KeyedQueues()
     for n in range(20_000):
         subject.append("union", str(n), Item(str(n), 60.0 + n))
@@ -16,7 +16,7 @@
     assert subject.next_deadline() is None
 
 
-def test_keys_take_turns():
+def test_keys_are_served_round_robin():
     subject = keyed_queues.KeyedQueues()
     for name in ("a", "b", "c"):
         subject.append(name, name, Item(name, 1.0))
