--- a/packages/daisypick_core/src/daisypick_core/membership/__init__.py
+++ b/packages/daisypick_core/src/daisypick_core/membership/__init__.py
@@ -1,6 +1,6 @@
-"""Which processes are believed to be alive.
+"""Which processes are considered live.
 
 * ``directory``: processes known from contact, from the configuration and
-  from the platform's lagging list.
-* ``relay_tree``: whom a router hears changes from.
+  from the platform's list, which is delayed.
+* ``relay_tree``: the routers from which a router receives changes.
 """
--- a/packages/daisypick_core/src/daisypick_core/membership/directory.py
+++ b/packages/daisypick_core/src/daisypick_core/membership/directory.py
@@ -1,11 +1,12 @@
 """Processes known from contact, the configuration and the platform's list.
 
-Nobody keeps a common list of members. Each process believes what it has seen:
-a process that was heard lately is alive; one that the configuration names and
-that was never tried is taken for alive; one that failed since it was last
-heard is not, for a while. Views differ, and whatever is chosen from them
-(watchers, collectors, batchers) must be right whoever does the work, and at
-most slower if two do it or nobody does for a moment.
+There is no shared list of members. Each process has a view of its own: a
+process with a recent contact is live; one that the configuration names and
+that was never contacted is assumed to be live; one that failed after its last
+contact is not live until the failure expires. Views differ, so any role that is
+assigned by them (watchers, collectors, batchers) must be correct whichever
+process takes it; two processes in a role, or none for a moment, may only cost
+speed.
 
 Examples:
     >>> own = Member("10.0.0.1:80", AGENT, "sofia")
@@ -29,8 +30,8 @@
 ROUTER = "router"
 AGENT = "agent"
 
-HEARD_SECONDS = 90.0
-FAILED_SECONDS = 30.0
+CONTACT_EXPIRY_SECONDS = 90.0
+FAILURE_EXPIRY_SECONDS = 30.0
 
 
 class Member(typing.NamedTuple):
@@ -40,8 +41,8 @@
         address: ``host:port``.
         role: ``ROUTER`` or ``AGENT``.
         data_centre: Name of its data centre.
-        service: Name of the service of an agent's backend server; ``""``
-            if unknown, which only the configuration tells.
+        service: Name of the service of an agent's backend server; ``""`` if
+            unknown, because only the configuration contains it.
     """
 
     address: str
@@ -51,52 +52,55 @@
 
 
 class Sighting(typing.NamedTuple):
-    """A member and how long ago it was heard, seconds."""
+    """A member and the seconds since its last contact."""
 
     member: Member
     age: float
 
 
 class Directory:
-    """The members that one process believes in."""
+    """One process's view of the members."""
 
     def __init__(self, *, own: Member) -> None:
         self._own = own
         self._listed_by_address: dict[str, Member] = {}
-        self._heard_by_address: dict[str, Member] = {}
-        self._heard_at: dict[str, float] = {}
+        self._contacted_by_address: dict[str, Member] = {}
+        self._last_contact_at: dict[str, float] = {}
         self._failed_at: dict[str, float] = {}
         self._leaving_hosts: frozenset[str] = frozenset()
 
     def set_listed(self, members: Iterable[Member]) -> None:
-        """Take the members that the configuration names, or seeds."""
+        """Set the members from the configuration, or the seed members."""
         self._listed_by_address = {member.address: member for member in members}
 
     def set_leaving(self, hosts: Iterable[str]) -> None:
-        """Take the hosts that the platform's list shows as leaving."""
+        """Set the hosts that the platform's list shows as leaving."""
         self._leaving_hosts = frozenset(hosts)
 
     def hear(self, member: Member, now: float, *, age: float = 0.0) -> None:
-        """Note a member that was heard ``age`` seconds ago, by us or a peer."""
-        if member.address == self._own.address or age >= HEARD_SECONDS:
+        """Record a member whose last contact was ``age`` seconds ago.
+
+        The contact was with this process or with a peer.
+        """
+        if member.address == self._own.address or age >= CONTACT_EXPIRY_SECONDS:
             return
-        self._heard_by_address[member.address] = member
+        self._contacted_by_address[member.address] = member
         self.contact(member.address, now - age)
 
     def contact(self, address: str, now: float) -> None:
-        """Note that an address was heard."""
-        latest = self._heard_at.get(address)
+        """Record a contact with an address."""
+        latest = self._last_contact_at.get(address)
         if latest is None or now > latest:
-            self._heard_at[address] = now
+            self._last_contact_at[address] = now
 
     def fail(self, address: str, now: float) -> None:
-        """Note that an address did not answer."""
+        """Record that an address did not respond."""
         self._failed_at[address] = now
 
     def age(self, address: str, now: float) -> float | None:
-        """Return seconds since an address was heard, ``None`` if never."""
-        heard_at = self._heard_at.get(address)
-        return None if heard_at is None else now - heard_at
+        """Return the seconds since the last contact, ``None`` if never."""
+        contact_at = self._last_contact_at.get(address)
+        return None if contact_at is None else now - contact_at
 
     def live(self, role: str, data_centre: str, now: float) -> list[str]:
         """Return the live addresses of a role in a data centre, sorted."""
@@ -112,7 +116,7 @@
     ) -> list[str]:
         """Return the live agents of a service in a data centre, sorted.
 
-        The own process counts if the configuration names it so.
+        This process is included if the configuration lists it for the service.
         """
         return sorted(
             member.address
@@ -125,8 +129,8 @@
         )
 
     def members(self, now: float) -> list[Member]:
-        """Return all live members but the own process."""
-        known = {**self._listed_by_address, **self._heard_by_address}
+        """Return all live members except this process."""
+        known = {**self._listed_by_address, **self._contacted_by_address}
         known.pop(self._own.address, None)
         return [
             member
@@ -137,42 +141,47 @@
     def sample(
         self, rng: random.Random, count: int, now: float
     ) -> list[Sighting]:
-        """Return some members with their ages, to tell a peer of them.
+        """Return random members with the ages of their last contacts.
 
-        Only those that were heard: the configuration is known to all.
+        They are sent to a peer. Members known only from the configuration are
+        left out, because every process has the configuration.
         """
         fresh = [
             address
-            for address in self._heard_by_address
+            for address in self._contacted_by_address
             if self._is_live(address, now)
         ]
         chosen = rng.sample(fresh, min(count, len(fresh)))
         return [
             Sighting(
-                member=self._heard_by_address[address],
-                age=now - self._heard_at[address],
+                member=self._contacted_by_address[address],
+                age=now - self._last_contact_at[address],
             )
             for address in chosen
         ]
 
     def forget_old(self, now: float) -> None:
-        """Drop what has not been heard for long, to bound the memory."""
-        earliest = now - HEARD_SECONDS
-        for address, heard_at in list(self._heard_at.items()):
-            if heard_at < earliest:
-                del self._heard_at[address]
-                self._heard_by_address.pop(address, None)
-        self._failed_at = _newer_than(self._failed_at, now - FAILED_SECONDS)
+        """Drop expired contacts and failures, to bound memory."""
+        earliest = now - CONTACT_EXPIRY_SECONDS
+        for address, contact_at in list(self._last_contact_at.items()):
+            if contact_at < earliest:
+                del self._last_contact_at[address]
+                self._contacted_by_address.pop(address, None)
+        self._failed_at = _newer_than(
+            self._failed_at, now - FAILURE_EXPIRY_SECONDS
+        )
 
     def _is_live(self, address: str, now: float) -> bool:
         if address.rpartition(":")[0] in self._leaving_hosts:
             return False
-        heard_at = self._heard_at.get(address)
+        contact_at = self._last_contact_at.get(address)
         failed_at = self._failed_at.get(address)
-        has_failed = failed_at is not None and now - failed_at < FAILED_SECONDS
-        if has_failed and (heard_at is None or failed_at >= heard_at):
+        has_failed = (
+            failed_at is not None and now - failed_at < FAILURE_EXPIRY_SECONDS
+        )
+        if has_failed and (contact_at is None or failed_at >= contact_at):
             return False
-        if heard_at is not None and now - heard_at < HEARD_SECONDS:
+        if contact_at is not None and now - contact_at < CONTACT_EXPIRY_SECONDS:
             return True
         return address in self._listed_by_address
 
--- a/packages/daisypick_core/src/daisypick_core/membership/relay_tree.py
+++ b/packages/daisypick_core/src/daisypick_core/membership/relay_tree.py
@@ -1,10 +1,11 @@
-"""Whom a router hears changes from, in a tree over all routers.
+"""Distribution tree that relays changes to all routers.
 
 One router sends each change to a bounded number of others, and each of these
-passes it on to as many. Every router works out its place by itself from the
-order of all of them: the router at position *n* hears from the one at position
-(*n* - 1) // ``FAN_OUT``. Two routers that know of different ones may each take
-the other for theirs; whoever hears no fresh proof does not rely on it.
+forwards it to as many. Every router computes its own position from the common
+order of all routers: the router at position *n* receives changes from the one
+at position (*n* - 1) // ``FAN_OUT``. Two routers with different views may each
+choose the other as their source; a router that receives no recent confirmation
+does not rely on its source.
 
 Examples:
     >>> order = [f"r-{number}" for number in range(700)]
@@ -18,19 +19,19 @@
 
 from collections.abc import Sequence
 
-# Routers that one passes changes on to.
+# Number of routers to which one router forwards changes.
 FAN_OUT = 64
 
 
 def find_sources(order: Sequence[str], name: str) -> list[str]:
-    """Return the routers to hear from, the first choice first.
+    """Return the routers to receive changes from, by preference.
 
-    Those above a router, the nearest first, and at last the second of all,
-    which takes the first one's place when that is gone.
+    These are the ancestors of a router, nearest first, and last the second
+    router of the order, which replaces the first one if that has failed.
 
     Args:
-        order: All routers in an order that all agree on.
-        name: The router that asks.
+        order: All routers in a common order.
+        name: Name of the receiving router.
     """
     position = order.index(name)
     sources = []
--- a/packages/daisypick_core/tests/membership/test_directory.py
+++ b/packages/daisypick_core/tests/membership/test_directory.py
@@ -13,9 +13,9 @@
     return subject
 
 
-def test_failed_member_is_alive_again_when_heard_or_after_a_while():
-    # A peer does not answer, during a partition: it must not be chosen for a
-    # while. When it is heard, or after that while, it is a candidate again.
+def test_failed_member_is_live_again_after_contact_or_failure_expiry():
+    # A peer does not respond during a partition and must not be chosen until
+    # the next contact, or until the failure expires.
     subject = make_directory()
     subject.fail(LISTED.address, 10.0)
     assert subject.members(11.0) == []
@@ -26,7 +26,7 @@
     assert subject.members(43.0) == [LISTED]
 
 
-def test_member_known_by_contact_is_forgotten_after_silence():
+def test_member_known_by_contact_expires_without_further_contact():
     subject = make_directory()
     subject.hear(ROUTER, 0.0)
     assert subject.live(directory.ROUTER, "varna", 89.0) == [ROUTER.address]
@@ -36,32 +36,32 @@
     assert subject.members(91.0) == [LISTED]
 
 
-def test_hearsay_never_makes_a_member_younger_than_it_is():
-    # Peers tell of members with their ages. Were a dead one's age reset at
-    # each telling, it would live on in hearsay for ever.
+def test_gossip_never_reduces_the_age_of_a_member():
+    # Peers exchange members with their ages. If each exchange reset the age, a
+    # dead member would stay live in gossip for ever.
     first, second = make_directory(), directory.Directory(own=LISTED)
     first.hear(ROUTER, 0.0)
     rng = random.Random(1)
     for now in range(1, 120):
-        for teller, listener in ((first, second), (second, first)):
-            for sighting in teller.sample(rng, 4, now):
-                listener.hear(sighting.member, now, age=sighting.age)
+        for sender, receiver in ((first, second), (second, first)):
+            for sighting in sender.sample(rng, 4, now):
+                receiver.hear(sighting.member, now, age=sighting.age)
     assert ROUTER not in first.members(120.0) + second.members(120.0)
 
 
-def test_leaving_hosts_are_no_candidates():
+def test_members_on_leaving_hosts_are_not_live():
     subject = make_directory()
     subject.set_leaving(["10.0.0.2"])
     assert subject.live(directory.AGENT, "sofia", 0.0) == [OWN.address]
 
 
-def test_live_agents_are_those_of_the_service():
+def test_live_agents_are_limited_to_the_service():
     subject = make_directory()
     other = directory.Member("10.0.0.4:80", directory.AGENT, "sofia", "chat")
     subject.set_listed([OWN, LISTED, other])
     both = [OWN.address, LISTED.address]
     assert subject.live_agents("desk", "sofia", 0.0) == both
-    # What a peer tells of an agent does not bear its service.
+    # Members from peers do not carry a service.
     subject.hear(LISTED._replace(service=""), 1.0)
     assert subject.live_agents("desk", "sofia", 1.0) == both
     subject.fail(LISTED.address, 2.0)
--- a/packages/daisypick_core/tests/membership/test_relay_tree.py
+++ b/packages/daisypick_core/tests/membership/test_relay_tree.py
@@ -1,4 +1,4 @@
-"""Whom routers hear changes from."""
+"""The sources from which routers receive changes."""
 
 import collections
 import random
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("routers", [1, 2, 12, 68, 142, 687, 5000])
-def test_every_router_hears_from_the_first_over_few_others(routers):
+def test_tree_reaches_every_router_with_bounded_fan_out_and_depth(routers):
     """Guards against one router that sends each change to the whole fleet."""
     order = [f"r-{number}" for number in range(routers)]
     children = collections.Counter()
@@ -25,11 +25,11 @@
     assert relay_tree.find_sources(order, order[0]) == []
 
 
-def test_half_of_the_tree_gone_leaves_most_with_a_source():
-    """Half of 687 routers die at once, the first and the second stay.
+def test_live_routers_keep_a_live_source_when_half_of_the_tree_fails():
+    """Half of 687 routers fail at once; the first and the second stay.
 
-    Whoever lives can follow one of its sources; without the others above it
-    that is the first of all.
+    Every live router still has a live source; if all other ancestors have
+    failed, that is the first router.
     """
     order = [f"r-{number}" for number in range(687)]
     rng = random.Random(1)
@@ -40,7 +40,7 @@
         assert len(sources) <= 4
 
 
-def test_second_router_takes_the_place_of_the_first():
+def test_second_router_is_the_fallback_for_the_first():
     order = ["a", "b", "c"]
     assert relay_tree.find_sources(order, "b") == ["a"]
     assert relay_tree.find_sources(order, "c") == ["a", "b"]
