--- a/packages/daisypick_http/src/daisypick_http/__init__.py
+++ b/packages/daisypick_http/src/daisypick_http/__init__.py
@@ -1,13 +1,13 @@
-"""HTTP/1.1 in both directions, by ``httptools`` on gevent sockets.
+"""HTTP/1.1 server and client, with ``httptools`` on gevent sockets.
 
-The WSGI server of the house style cannot see a caller leave before its
-answer begins and picks the framing of answers itself, so the parser library
-is used directly, for callers and backend servers alike.
+The usual WSGI server cannot detect that a caller disconnects before the
+response starts, and chooses the framing of responses itself. The parser library
+is therefore used directly, for callers and backend servers alike.
 
-* ``messages``: requests and answers as values, and how they are written.
-* ``request_reader``: bytes of a caller to whole requests.
-* ``answer_reader``: bytes of a backend server to the parts of an answer.
+* ``messages``: requests and responses as values, and their serialisation.
+* ``request_reader``: parses a caller's bytes into complete requests.
+* ``response_reader``: parses a backend server's bytes into responses.
 * ``server``: one caller's connection.
 * ``connection``: one connection to a backend server.
-* ``pool``: kept connections by address.
+* ``pool``: persistent connections by address.
 """
--- a/packages/daisypick_http/src/daisypick_http/connection.py
+++ b/packages/daisypick_http/src/daisypick_http/connection.py
@@ -1,8 +1,8 @@
-"""One connection to another process, for one exchange after the other.
+"""One connection to another process, for sequential exchanges.
 
-Errors are told apart by what they say about the request: with
-``NotConnectedError`` nothing was sent, which with ``NoDescriptorsError`` tells
-nothing of the peer; after ``ConnectionBrokeError`` and
+Errors are distinguished by what they imply for the request: after
+``NotConnectedError`` nothing was sent, and its subclass ``NoDescriptorsError``
+implies nothing about the peer; after ``ConnectionBrokeError`` and
 ``AnswerTimeoutError`` a request that was sent may have run.
 """
 
@@ -11,15 +11,15 @@
 
 from gevent import socket
 
-from daisypick_http import answer_reader
 from daisypick_http import messages
+from daisypick_http import response_reader
 
 _RECEIVE_BYTES = 65536
-_LEAST_TIMEOUT_SECONDS = 0.001
-# The kernel gives up on unacknowledged bytes after this long, so a peer
-# that went dark holds no connection for the quarter of an hour that is the
-# system's default. Three times the longest freeze that a peer survives here.
-_USER_TIMEOUT_MILLISECONDS = 10_000
+_MIN_TIMEOUT_SECONDS = 0.001
+# The kernel closes a connection with unacknowledged bytes after this time, so
+# an unreachable peer does not hold it for the system's default of a quarter of
+# an hour. The value is three times the longest freeze that a peer survives.
+_TCP_USER_TIMEOUT_MS = 10_000
 
 
 class NotConnectedError(Exception):
@@ -27,22 +27,22 @@
 
 
 class NoDescriptorsError(NotConnectedError):
-    """This process has no descriptor left; the peer was not tried."""
+    """This process has no free file descriptor; the peer was not contacted."""
 
 
 class ConnectionBrokeError(Exception):
-    """The connection broke; what was sent may have run."""
+    """The connection broke; a request that was sent may have run."""
 
 
 class AnswerTimeoutError(Exception):
-    """Nothing came in time; what was sent may have run."""
+    """Nothing was received in time; a request that was sent may have run."""
 
 
 def probe_silence(probed: socket.socket, seconds: int) -> None:
-    """Let the kernel end a connection that is silent for some seconds.
+    """Enable TCP keepalive, which closes an unresponsive connection.
 
-    Something between the two ends may have lost track of a connection; then
-    nothing ever comes on it, and no reset either.
+    A device between the two ends may have dropped its state of a connection;
+    then neither data nor a reset is ever received on it.
     """
     tcp = plain_socket.IPPROTO_TCP
     probed.setsockopt(plain_socket.SOL_SOCKET, plain_socket.SO_KEEPALIVE, 1)
@@ -53,19 +53,19 @@
 
 
 def receive(connected: socket.socket, timeout: float) -> bytes:
-    """Return the next bytes, or none after the peer's end.
+    """Return the next bytes, or none after the peer closed the connection.
 
-    The event loop takes a bounded number of events from the kernel in a turn
-    and runs the timers that are due before it takes the rest. A loop that was
-    held up would thus run the timers of sockets whose bytes came in time, so
-    a socket is read once more after its timer has run.
+    The event loop takes a bounded number of events from the kernel per
+    iteration and runs the due timers before it takes the others. A delayed loop
+    would thus run the timers of sockets whose bytes arrived in time, so a
+    socket is read once more after its timer has run.
 
     Raises:
-        TimeoutError: Nothing came within ``timeout`` seconds.
+        TimeoutError: Nothing was received within ``timeout`` seconds.
         OSError: The connection broke.
     """
     try:
-        connected.settimeout(max(timeout, _LEAST_TIMEOUT_SECONDS))
+        connected.settimeout(max(timeout, _MIN_TIMEOUT_SECONDS))
         return connected.recv(_RECEIVE_BYTES)
     except TimeoutError:
         connected.settimeout(0.0)
@@ -79,7 +79,7 @@
     """Return a socket that is not connected.
 
     Raises:
-        NoDescriptorsError: This process has no descriptor left.
+        NoDescriptorsError: This process has no free file descriptor.
     """
     try:
         return socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -88,7 +88,7 @@
 
 
 def is_connected(connecting: socket.socket) -> bool:
-    """Tell whether a connection has been established."""
+    """Return whether a connection has been established."""
     try:
         connecting.getpeername()
     except OSError:
@@ -97,7 +97,16 @@
 
 
 class Connection:
-    """A connected socket and the answer that is being read from it."""
+    """A connected socket and the response that is being read from it.
+
+    Attributes:
+        address: IP address and port of the peer.
+        idle_since: Monotonic time of the end of the last exchange.
+        idle_limit: Seconds for which the peer keeps an idle connection, or
+            ``None`` if the peer does not announce it.
+        exchanges: Number of requests sent.
+        reader: Parser of the current response.
+    """
 
     def __init__(
         self,
@@ -109,21 +118,23 @@
         """Connect.
 
         Args:
-            address: IP number and port.
-            connect_timeout: Seconds for the connection to be established.
-            silence_limit: Seconds after which the kernel ends a connection
-                whose peer does not answer probes; ``None`` for no probes.
+            address: IP address and port.
+            connect_timeout: Seconds within which the connection must be
+                established.
+            silence_limit: Seconds after which the kernel closes a connection
+                whose peer does not respond to keepalive probes; ``None`` for
+                no probes.
 
         Raises:
-            NoDescriptorsError: This process has no descriptor left.
-            NotConnectedError: The peer refused, reset or did not answer in
-                ``connect_timeout`` seconds.
+            NoDescriptorsError: This process has no free file descriptor.
+            NotConnectedError: The peer refused or reset the connection, or did
+                not respond within ``connect_timeout`` seconds.
         """
         self.address = address
         self.idle_since = time.monotonic()
         self.idle_limit: float | None = None
         self.exchanges = 0
-        self.reader: answer_reader.AnswerReader | None = None
+        self.reader: response_reader.ResponseReader | None = None
         self._socket = open_socket()
         try:
             self._socket.setsockopt(
@@ -132,7 +143,7 @@
             self._socket.setsockopt(
                 plain_socket.IPPROTO_TCP,
                 plain_socket.TCP_USER_TIMEOUT,
-                _USER_TIMEOUT_MILLISECONDS,
+                _TCP_USER_TIMEOUT_MS,
             )
             if silence_limit is not None:
                 probe_silence(self._socket, silence_limit)
@@ -146,18 +157,20 @@
         try:
             self._socket.connect(self.address)
         except TimeoutError:
-            # Established in time, as in ``receive``.
+            # A delayed event loop may run the timer although the connection was
+            # established in time, as in ``receive``.
             if not is_connected(self._socket):
                 raise
 
     def send(self, data: bytes, *, method: bytes, timeout: float) -> None:
-        """Send a request and get ready for its answer.
+        """Send a request and prepare to read its response.
 
         Raises:
-            ConnectionBrokeError: The peer closed or does not read.
+            ConnectionBrokeError: The peer closed the connection or does not
+                read.
         """
         self.exchanges += 1
-        self.reader = answer_reader.AnswerReader(method=method)
+        self.reader = response_reader.ResponseReader(method=method)
         try:
             self._socket.settimeout(timeout)
             self._socket.sendall(data)
@@ -165,10 +178,10 @@
             raise ConnectionBrokeError(f"send: {error}") from error
 
     def read(self, timeout: float) -> None:
-        """Read some bytes into ``reader``.
+        """Read available bytes into ``reader``.
 
         Raises:
-            AnswerTimeoutError: Nothing came within ``timeout`` seconds.
+            AnswerTimeoutError: Nothing was received within ``timeout`` seconds.
             ConnectionBrokeError: The connection was reset.
         """
         try:
@@ -183,7 +196,10 @@
             self.reader.feed_end()
 
     def is_reusable(self) -> bool:
-        """Tell whether the answer was whole and the connection stays."""
+        """Return whether another request may be sent on the connection.
+
+        The response must be complete and the peer must keep the connection.
+        """
         reader = self.reader
         return (
             reader is not None
@@ -192,12 +208,12 @@
             and not reader.surplus
         )
 
-    def is_quiet(self) -> bool:
-        """Tell whether an idle connection is open and has nothing to read.
+    def is_open_and_idle(self) -> bool:
+        """Return whether an idle connection is open and has nothing to read.
 
-        A connection that the peer has closed, or on which bytes arrived
-        that nobody asked for, must not carry a request: the bytes would be
-        taken for its answer.
+        A connection that the peer has closed, or on which unsolicited bytes
+        were received, must not carry a request: the bytes would be parsed as
+        its response.
         """
         try:
             self._socket.settimeout(0.0)
@@ -208,8 +224,8 @@
             return False
         return False
 
-    def read_idle_limit(self) -> None:
-        """Take how long the peer keeps the connection, if it says so."""
+    def update_idle_limit(self) -> None:
+        """Set ``idle_limit`` from the peer's ``Keep-Alive`` header."""
         headers = self.reader.head.headers
         value = messages.find_header(headers, b"keep-alive")
         if value is None:
@@ -220,5 +236,5 @@
                 self.idle_limit = float(seconds)
 
     def close(self) -> None:
-        """Close the connection; the peer stops working on the request."""
+        """Close the connection, upon which the peer cancels the request."""
         self._socket.close()
--- a/packages/daisypick_http/src/daisypick_http/messages.py
+++ b/packages/daisypick_http/src/daisypick_http/messages.py
@@ -1,7 +1,7 @@
-r"""Requests and answers as values, and how they are written.
+r"""Requests and responses as values, and their serialisation.
 
-Header names are kept as they came; ``find_header`` compares them without
-regard to case.
+Header names are kept as received; ``find_header`` compares them
+case-insensitively.
 
 Examples:
     >>> headers = ((b"Host", b"a.example"), (b"X-Key", b"k"))
@@ -16,8 +16,8 @@
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1), and
-# the framing, which each side writes for itself.
+# Hop-by-hop headers (RFC 9110, section 7.6.1), and the headers of the framing,
+# which each side sets for its own connection.
 PER_CONNECTION_NAMES = frozenset(
     {
         b"connection",
@@ -49,16 +49,15 @@
 
 
 class Request(typing.NamedTuple):
-    """A whole request of a caller.
+    """A complete request of a caller.
 
     Attributes:
-        method: As it came.
-        target: Path and query as they came.
-        headers: As they came, in their order.
-        body: Whole, without its transfer coding.
-        keep_alive: Whether the caller wants to keep the connection.
-        began_at: When its first byte was read, in seconds of the
-            monotonic clock.
+        method: Method as received.
+        target: Path and query as received.
+        headers: Headers as received, in their order.
+        body: Complete body without its transfer coding.
+        keep_alive: Whether the caller wants to keep the connection open.
+        began_at: Monotonic time in seconds at which its first byte was read.
     """
 
     method: bytes
@@ -70,7 +69,7 @@
 
 
 class AnswerHead(typing.NamedTuple):
-    """Status line and headers of an answer."""
+    """Status code and headers of a response."""
 
     status: int
     headers: Headers
@@ -85,9 +84,9 @@
 
 
 def drop_per_connection(headers: Headers) -> Headers:
-    """Return the headers that may pass from one connection to another.
+    """Return the headers that may be forwarded to another connection.
 
-    Headers that ``Connection`` names are per connection too.
+    Headers listed in ``Connection`` are hop-by-hop too.
     """
     named = {
         token.strip().lower()
@@ -118,7 +117,7 @@
     headers: Iterable[tuple[bytes, bytes]],
     body: bytes,
 ) -> bytes:
-    """Return the bytes of a request, framed by its length."""
+    """Return the bytes of a request, framed by ``Content-Length``."""
     lines = _write_lines(b"%b %b HTTP/1.1" % (method, target), headers)
     if body or method in (b"POST", b"PUT", b"PATCH"):
         lines.append(b"Content-Length: %d" % len(body))
@@ -133,7 +132,7 @@
 
 
 def write_chunk(data: bytes) -> bytes:
-    """Return a chunk of a body of unknown length."""
+    """Return the bytes of one chunk of a chunked body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
--- a/packages/daisypick_http/src/daisypick_http/pool.py
+++ b/packages/daisypick_http/src/daisypick_http/pool.py
@@ -1,26 +1,31 @@
-"""Kept connections by address.
+"""Pool of persistent connections, by address.
 
-A kept connection saves the peer's handshake, but may have been closed by
-the peer at the very moment at which a request is sent on it. That request
-may then have run. So a connection is used again only well within the time
-for which its peer keeps it, and only if nothing arrived on it meanwhile.
+Reusing a connection saves the handshake, but the peer may close it at the
+moment at which a request is sent on it, and it is then unknown whether that
+request ran. A connection is therefore reused only well within the peer's idle
+timeout, and only if nothing was received on it meanwhile.
 """
 
 import time
 
 from daisypick_http import connection as connections
 
-# A peer that says nothing about its timeout is taken to keep a connection
-# for this many seconds; the shortest timeout in use among HTTP servers.
+# Assumed idle timeout, in seconds, of a peer that announces none: the shortest
+# one in use among HTTP servers.
 _DEFAULT_IDLE_LIMIT = 2.0
-# Share of the peer's timeout after which a connection is not used again. The
-# rest covers the peer's rounding to whole seconds and the way to it.
-_IDLE_SHARE = 0.5
-_MOST_KEPT_BY_ADDRESS = 64
+# Fraction of the peer's idle timeout after which a connection is not reused.
+# The rest covers the peer's rounding to whole seconds and the network latency.
+_IDLE_FRACTION = 0.5
+_MAX_IDLE_PER_ADDRESS = 64
 
 
 class Pool:
-    """Idle connections, the most recently used one first."""
+    """Idle connections, of which the most recently used one is reused first.
+
+    Attributes:
+        opened: Number of connections opened.
+        reused: Number of times that a connection was reused.
+    """
 
     def __init__(
         self, *, connect_timeout: float, silence_limit: int | None = None
@@ -34,25 +39,26 @@
         self.reused = 0
 
     def take(self, address: tuple[str, int]) -> connections.Connection:
-        """Return a connection that can carry a request.
+        """Return an idle or a new connection.
 
         Raises:
             NoDescriptorsError: A new connection was needed, and this process
-                has no descriptor left and no idle connection to close.
-            NotConnectedError: A new connection was needed and refused.
+                has no free file descriptor and no idle connection to close.
+            NotConnectedError: A new connection was needed but could not be
+                established.
         """
         now = time.monotonic()
         idle = self._idle_by_address.get(address, [])
         while idle:
             kept = idle.pop()
-            if self._is_fresh(kept, now) and kept.is_quiet():
+            if self._is_fresh(kept, now) and kept.is_open_and_idle():
                 self.reused += 1
                 return kept
             kept.close()
         try:
             connection = self._open(address)
         except connections.NoDescriptorsError:
-            if not self._close_oldest():
+            if not self._close_longest_idle():
                 raise
             connection = self._open(address)
         self.opened += 1
@@ -65,8 +71,8 @@
             silence_limit=self._silence_limit,
         )
 
-    def _close_oldest(self) -> bool:
-        """Close the connection that is idle for the longest time."""
+    def _close_longest_idle(self) -> bool:
+        """Close the connection that has been idle for the longest time."""
         idle = [kept for kept in self._idle_by_address.values() if kept]
         if not idle:
             return False
@@ -75,13 +81,13 @@
         return True
 
     def give_back(self, connection: connections.Connection) -> None:
-        """Keep a connection whose answer was whole; close any other."""
+        """Keep a connection if it is reusable, else close it."""
         if not connection.is_reusable():
             connection.close()
             return
-        connection.read_idle_limit()
+        connection.update_idle_limit()
         idle = self._idle_by_address.setdefault(connection.address, [])
-        if len(idle) >= _MOST_KEPT_BY_ADDRESS:
+        if len(idle) >= _MAX_IDLE_PER_ADDRESS:
             connection.close()
             return
         connection.idle_since = time.monotonic()
@@ -93,7 +99,7 @@
             connection.close()
 
     def close_stale(self) -> None:
-        """Close connections that will not be used again."""
+        """Close the connections that have been idle for too long."""
         now = time.monotonic()
         for address, idle in list(self._idle_by_address.items()):
             fresh = [kept for kept in idle if self._is_fresh(kept, now)]
@@ -109,4 +115,4 @@
         limit = kept.idle_limit
         if limit is None:
             limit = _DEFAULT_IDLE_LIMIT
-        return now - kept.idle_since < limit * _IDLE_SHARE
+        return now - kept.idle_since < limit * _IDLE_FRACTION
--- a/packages/daisypick_http/src/daisypick_http/request_reader.py
+++ b/packages/daisypick_http/src/daisypick_http/request_reader.py
@@ -1,8 +1,8 @@
-"""Bytes of a caller's connection to whole requests.
+"""Parses the bytes of a caller's connection into complete requests.
 
-A request is handed on only when its body is whole, so that nothing that a
-caller sends can end up inside another request. ``httptools`` refuses
-messages with two framings; the target and the headers are kept as sent.
+A request is released only when its body is complete, so that bytes from one
+caller can never become part of another request. ``httptools`` rejects messages
+with two framings; the target and the headers are kept as received.
 """
 
 import typing
@@ -13,14 +13,23 @@
 
 
 class Refusal(typing.NamedTuple):
-    """Why a caller's bytes are not taken: an HTTP status and a reason."""
+    """Why a caller's bytes are rejected: an HTTP status and a reason."""
 
     status: int
     reason: str
 
 
 class RequestReader:
-    """Parser of one connection; feed it bytes, take whole requests."""
+    """Incremental parser for the requests of one connection.
+
+    Attributes:
+        requests: Complete requests that were not taken yet.
+        refusal: Why the bytes were rejected, or ``None``.
+        began_at: Time of the first byte of an incomplete request, or ``None``.
+        expects_continue: Whether the caller waits for an interim response with
+            status 100 before it sends the body.
+        in_head: Whether the head of a request is incomplete.
+    """
 
     def __init__(self, *, header_bytes: int, body_bytes: int) -> None:
         self._header_bytes = header_bytes
@@ -29,7 +38,7 @@
         self.requests: list[messages.Request] = []
         self.refusal: Refusal | None = None
         self.began_at: float | None = None
-        self.wants_continue = False
+        self.expects_continue = False
         self._now = 0.0
         self._reset()
 
@@ -42,34 +51,34 @@
         self.in_head = False
 
     def set_limits(self, *, header_bytes: int, body_bytes: int) -> None:
-        """Take the limits of a newer configuration."""
+        """Set the limits of a newer configuration."""
         self._header_bytes = header_bytes
         self._body_bytes = body_bytes
 
     def feed(self, data: bytes, now: float) -> None:
-        """Take bytes; ``requests`` and ``refusal`` tell what came of it."""
+        """Parse received bytes and update ``requests`` and ``refusal``."""
         self._now = now
         if self.began_at is None:
             self.began_at = now
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refuse(400, "upgrade is not offered")
+            self._reject(400, "upgrade is not offered")
         except httptools.HttpParserError as error:
-            self._refuse(400, f"malformed request: {error}")
+            self._reject(400, f"malformed request: {error}")
         if self.in_head:
             self._head_size += len(data)
             if self._head_size > self._header_bytes:
-                self._refuse(431, f"head exceeds {self._header_bytes} bytes")
+                self._reject(431, f"head exceeds {self._header_bytes} bytes")
 
-    def _refuse(self, status: int, reason: str) -> None:
+    def _reject(self, status: int, reason: str) -> None:
         if self.refusal is None:
             self.refusal = Refusal(status=status, reason=reason)
 
     # Callbacks of httptools.
 
     def on_message_begin(self) -> None:
-        """Start a request."""
+        """Start the next request."""
         self._reset()
         self.in_head = True
         if self.began_at is None:
@@ -84,33 +93,33 @@
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Check the head."""
+        """Validate the head."""
         self.in_head = False
         size = len(self._target) + sum(
             len(name) + len(value) + 4 for name, value in self._headers
         )
         if size > self._header_bytes:
-            self._refuse(431, f"head exceeds {self._header_bytes} bytes")
+            self._reject(431, f"head exceeds {self._header_bytes} bytes")
         headers = tuple(self._headers)
         length = messages.find_header(headers, b"content-length")
         if length and int(length) > self._body_bytes:
-            self._refuse(413, f"body exceeds {self._body_bytes} bytes")
+            self._reject(413, f"body exceeds {self._body_bytes} bytes")
         hosts = sum(1 for name, _ in headers if name.lower() == b"host")
         if hosts != 1:
-            self._refuse(400, f"{hosts} Host headers")
+            self._reject(400, f"{hosts} Host headers")
         expected = messages.find_header(headers, b"expect")
-        self.wants_continue = (expected or b"").lower() == b"100-continue"
+        self.expects_continue = (expected or b"").lower() == b"100-continue"
 
     def on_body(self, body: bytes) -> None:
-        """Collect a piece of the body."""
+        """Collect a part of the body."""
         self._body_size += len(body)
         if self._body_size > self._body_bytes:
-            self._refuse(413, f"body exceeds {self._body_bytes} bytes")
+            self._reject(413, f"body exceeds {self._body_bytes} bytes")
             return
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand the request on, unless it was refused."""
+        """Release the request unless it was rejected."""
         if self.refusal is None:
             self.requests.append(
                 messages.Request(
@@ -123,5 +132,5 @@
                 )
             )
         self.began_at = None
-        self.wants_continue = False
+        self.expects_continue = False
         self._reset()
--- a/packages/daisypick_http/src/daisypick_http/response_reader.py
+++ b/packages/daisypick_http/src/daisypick_http/response_reader.py
@@ -1,9 +1,9 @@
-"""Bytes of a backend server's connection to the parts of its answers.
+"""Parses the bytes of a backend server's connection into responses.
 
-The reader knows how an answer is framed, so that its user can tell a whole
-answer from one that broke off: by length, by chunks, or by the end of the
-connection. Servers may send more answers than they were asked for; the reader
-keeps them apart, and its user says when the first one is done with.
+The reader tracks how a response is framed (by length, by chunks, or by the end
+of the connection), so that its user can tell a complete response from a
+truncated one. Servers may send more responses than requested; the reader keeps
+them apart, and its user decides when to skip the first one.
 """
 
 import collections
@@ -13,8 +13,8 @@
 from daisypick_http import messages
 
 
-class _Answer:
-    """One answer as far as it was read."""
+class _Response:
+    """One response as far as it was read."""
 
     __slots__ = ("body", "complete", "head", "keep_alive", "until_close")
 
@@ -26,61 +26,61 @@
         self.keep_alive = False
 
 
-class AnswerReader:
-    """Parser of one connection; feed it bytes, take ``head`` and the body.
+class ResponseReader:
+    """Incremental parser for the responses of one connection.
 
     Attributes:
-        broken: Why the bytes are no answer, or ``None``.
+        broken: Why the bytes are not a valid response, or ``None``.
     """
 
     def __init__(self, *, method: bytes) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._method = method
-        self._answers: collections.deque[_Answer] = collections.deque()
-        self._answers.append(_Answer())
+        self._responses: collections.deque[_Response] = collections.deque()
+        self._responses.append(_Response())
         self._headers: list[tuple[bytes, bytes]] = []
-        self._trailing = False
+        self._has_trailing_bytes = False
         self.broken: str | None = None
 
     @property
     def head(self) -> messages.AnswerHead | None:
-        """Status and headers; interim answers (1xx) are passed over."""
-        return self._answers[0].head
+        """Status and headers; interim responses (1xx) are skipped."""
+        return self._responses[0].head
 
     @property
     def complete(self) -> bool:
-        """Whether the framing says that the answer is whole."""
-        return self._answers[0].complete
+        """Whether the response is complete by its framing."""
+        return self._responses[0].complete
 
     @property
     def surplus(self) -> bool:
-        """Whether bytes came after the whole answer."""
-        return self._trailing or len(self._answers) > 1
+        """Whether bytes were received after the complete response."""
+        return self._has_trailing_bytes or len(self._responses) > 1
 
     @property
     def keep_alive(self) -> bool:
         """Whether the connection may carry another request."""
-        return self._answers[0].keep_alive and not self._trailing
+        return self._responses[0].keep_alive and not self._has_trailing_bytes
 
     def feed(self, data: bytes) -> None:
-        """Take bytes."""
-        if self.broken is not None or self._trailing:
+        """Parse received bytes."""
+        if self.broken is not None or self._has_trailing_bytes:
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             self.broken = "upgrade was not asked for"
         except httptools.HttpParserError as error:
-            # Bytes behind a whole answer are the connection's trouble, not
-            # that answer's.
+            # Invalid bytes after a complete response make the connection
+            # unusable, but not that response.
             if self.complete:
-                self._trailing = True
+                self._has_trailing_bytes = True
             else:
                 self.broken = str(error)
 
     def feed_end(self) -> None:
-        """Take the orderly end of the connection."""
-        last = self._answers[-1]
+        """Handle the orderly end of the connection."""
+        last = self._responses[-1]
         last.keep_alive = False
         if last.head is not None and last.until_close and not self.broken:
             last.complete = True
@@ -88,14 +88,14 @@
             self.broken = self.broken or "connection ended within the answer"
 
     def pass_over(self) -> None:
-        """Drop the first answer; the next one is expected."""
-        self._answers.popleft()
-        if not self._answers:
-            self._answers.append(_Answer())
+        """Drop the first response and continue with the next one."""
+        self._responses.popleft()
+        if not self._responses:
+            self._responses.append(_Response())
 
     def take_body(self) -> bytes:
-        """Return the bytes of the body that came since the last call."""
-        body = self._answers[0].body
+        """Return the bytes of the body received since the last call."""
+        body = self._responses[0].body
         if not body:
             return b""
         data = b"".join(body)
@@ -105,9 +105,9 @@
     # Callbacks of httptools.
 
     def on_message_begin(self) -> None:
-        """Begin the next answer, if the one before is whole."""
-        if self._answers[-1].complete:
-            self._answers.append(_Answer())
+        """Start the next response if the previous one is complete."""
+        if self._responses[-1].complete:
+            self._responses.append(_Response())
         self._headers = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -115,28 +115,31 @@
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Work out how the answer is framed."""
+        """Determine how the response is framed."""
         status = self._parser.get_status_code()
         if status < 200:
             return
         headers = tuple(self._headers)
-        answer = self._answers[-1]
-        answer.head = messages.AnswerHead(status=status, headers=headers)
-        answer.keep_alive = self._parser.should_keep_alive()
+        response = self._responses[-1]
+        response.head = messages.AnswerHead(status=status, headers=headers)
+        response.keep_alive = self._parser.should_keep_alive()
         if self._method == b"HEAD" or status in (204, 304):
-            answer.complete = True
-            answer.keep_alive = False
+            response.complete = True
+            response.keep_alive = False
             return
         coding = messages.find_header(headers, b"transfer-encoding")
         length = messages.find_header(headers, b"content-length")
-        answer.until_close = length is None and coding is None
+        response.until_close = length is None and coding is None
 
     def on_body(self, body: bytes) -> None:
-        """Collect a piece of the body."""
-        self._answers[-1].body.append(body)
+        """Collect a part of the body."""
+        self._responses[-1].body.append(body)
 
     def on_message_complete(self) -> None:
-        """Note the end, which for an unframed answer is its connection's."""
-        answer = self._answers[-1]
-        if answer.head is not None and not answer.until_close:
-            answer.complete = True
+        """Mark the response as complete.
+
+        A response without framing is complete only at the connection's end.
+        """
+        response = self._responses[-1]
+        if response.head is not None and not response.until_close:
+            response.complete = True
--- a/packages/daisypick_http/src/daisypick_http/server.py
+++ b/packages/daisypick_http/src/daisypick_http/server.py
@@ -1,10 +1,10 @@
-"""One caller's connection: requests come in, answers go out, callers leave.
+"""The server side of one caller's connection.
 
-The reader goes on reading while a request is handled. That is how it sees a
-caller close its connection, upon which the handler is ended at once and with
-it the work at the backend server. A closing connection first ends its
-writing side and reads on for a moment: closing with unread bytes would reset
-the connection and could take the answer with it.
+The connection is still read while a request is handled. This detects that a
+caller disconnects, upon which the handler is stopped at once and with it the
+work at the backend server. A closing connection first shuts down its sending
+side and is read for a moment longer (lingering close): closing it with unread
+bytes would reset the connection, and the response could be lost.
 """
 
 from collections.abc import Callable
@@ -19,22 +19,22 @@
 from daisypick_http import messages
 from daisypick_http import request_reader
 
-# Longest wait for the caller's end of a connection that we have ended.
+# Maximum wait for the caller to close a connection after our side was closed.
 _LINGER_SECONDS = 1.0
 
 
 class CallerLeft(gevent.GreenletExit):
-    """The caller closed its connection; its request is of no use to it."""
+    """The caller closed its connection and cannot receive the response."""
 
 
 class Limits:
-    """What a caller may send and how long it may take.
+    """Limits for the size and the duration of callers' requests.
 
     Attributes:
-        header_bytes: Most bytes of a head.
-        body_bytes: Most bytes of a body.
+        header_bytes: Maximum size of a request's head.
+        body_bytes: Maximum size of a request's body.
         header_timeout: Seconds from the first byte of a head to its last.
-        idle_timeout: Seconds that an idle connection is kept.
+        idle_timeout: Seconds for which an idle connection is kept open.
     """
 
     def __init__(
@@ -54,19 +54,19 @@
 class CallerConnection:
     """A caller's connection.
 
-    ``handle(connection, request)`` answers each request by ``send_whole`` or
-    by ``begin_stream``, ``send_chunk`` and ``end_stream``. It runs in a
-    greenlet of its own, which ``begin(greenlet, request)`` starts, at once or
-    when there is time. ``on_drop(request, reason)`` is told of each whole
-    request that ends with the connection and was never handled,
-    ``on_idle(connection, idle)`` of each request's start and end.
+    ``handle(connection, request)`` responds to each request by ``send_whole``
+    or by ``begin_stream``, ``send_chunk`` and ``end_stream``. It runs in a
+    greenlet of its own, which ``begin(greenlet, request)`` starts, immediately
+    or later. ``on_drop(request, reason)`` is called for each complete request
+    that was not handled before the connection ended,
+    ``on_idle(connection, idle)`` at each request's start and end.
 
     Attributes:
-        idle_since: When it last had nothing to do.
-        closing: Whether our side has ended.
-        exchanges: Requests that were begun on it.
-        answer_begun: Whether the head of the running answer went out.
-        answer_ended: Whether the running answer went out whole.
+        idle_since: Monotonic time at which the connection last became idle.
+        closing: Whether our side is closed.
+        exchanges: Number of requests started on the connection.
+        answer_begun: Whether the head of the current response was sent.
+        answer_ended: Whether the current response was sent completely.
     """
 
     def __init__(
@@ -82,16 +82,16 @@
         on_idle: Callable[["CallerConnection", bool], None] | None = None,
     ) -> None:
         self._socket = socket
-        self._begin = begin or _begin_at_once
-        self._on_drop = on_drop or _ignore
-        self._on_idle = on_idle or _ignore
-        self._unbegun: messages.Request | None = None
+        self._begin = begin or _start_immediately
+        self._on_drop = on_drop or _do_nothing
+        self._on_idle = on_idle or _do_nothing
+        self._pending_request: messages.Request | None = None
         self._handle = handle
         self._limits = limits
         self._handler: gevent.Greenlet | None = None
-        # Whether it is served no longer, and why.
-        self._ended = False
-        self._reason = "closed by the router"
+        # Whether ``run`` has finished, and why.
+        self._has_finished = False
+        self._end_reason = "closed by the router"
         self.idle_since = time.monotonic()
         self._idle_timeout = limits().idle_timeout
         self._reader = request_reader.RequestReader(
@@ -106,7 +106,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is read, in part or whole, or handled."""
+        """Whether no request is being read, queued or handled."""
         reader = self._reader
         return (
             self._handler is None
@@ -123,35 +123,39 @@
             while not self._aborted and self._read_once(self._reader):
                 pass
         finally:
-            self._ended = True
+            self._has_finished = True
             if self._handler is not None:
-                self._handler.kill(CallerLeft(self._reason), block=False)
+                self._handler.kill(CallerLeft(self._end_reason), block=False)
             self._socket.close()
-            self._drop_unhandled()
+            self._report_unhandled()
 
-    def _drop_unhandled(self) -> None:
+    def _report_unhandled(self) -> None:
         unhandled = [*self._reader.requests]
-        if self._unbegun is not None:
-            unhandled.insert(0, self._unbegun)
-        reason = "came after our end" if self.closing else self._reason
+        if self._pending_request is not None:
+            unhandled.insert(0, self._pending_request)
+        reason = (
+            "arrived after our side was closed"
+            if self.closing
+            else self._end_reason
+        )
         for request in unhandled:
             self._on_drop(request, reason)
 
     def _read_once(self, reader: request_reader.RequestReader) -> bool:
-        """Read and serve what came; return whether to go on."""
+        """Read and process available bytes; return whether to continue."""
         timeout = self._next_timeout(reader)
         if timeout <= 0.0 and self.closing:
             return False
         try:
             data = connections.receive(self._socket, timeout)
         except TimeoutError:
-            silent = self._next_timeout(reader) <= 0.0
-            return self._end_silence(reader) if silent else True
+            expired = self._next_timeout(reader) <= 0.0
+            return self._handle_timeout(reader) if expired else True
         except OSError as error:
-            self._reason = str(error)
+            self._end_reason = str(error)
             return False
         if not data:
-            self._reason = "closed by the caller"
+            self._end_reason = "closed by the caller"
             return False
         limits = self._limits()
         reader.set_limits(
@@ -160,12 +164,12 @@
         reader.feed(data, time.monotonic())
         if self.closing and self._handler is None:
             return True
-        if reader.wants_continue and not reader.refusal:
-            reader.wants_continue = False
+        if reader.expects_continue and not reader.refusal:
+            reader.expects_continue = False
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        return self._serve_read(reader)
+        return self._serve_requests(reader)
 
-    def _serve_read(self, reader: request_reader.RequestReader) -> bool:
+    def _serve_requests(self, reader: request_reader.RequestReader) -> bool:
         while reader.requests and not self._aborted:
             if self._handler is not None:
                 self._handler.join()
@@ -175,11 +179,11 @@
         if reader.refusal is not None and not self.closing:
             if self._handler is not None:
                 self._handler.join()
-            self.refuse_bytes(reader.refusal)
+            self.reject(reader.refusal)
         return True
 
-    def refuse_bytes(self, refusal: request_reader.Refusal) -> None:
-        """Answer bytes that are no acceptable request, and close."""
+    def reject(self, refusal: request_reader.Refusal) -> None:
+        """Respond to bytes that are not an acceptable request, and close."""
         self._keep_alive = False
         self.send_whole(
             status=refusal.status, headers=(), body=refusal.reason.encode()
@@ -198,11 +202,11 @@
         )
         return self.idle_since + self._idle_timeout - now
 
-    def _end_silence(self, reader: request_reader.RequestReader) -> bool:
+    def _handle_timeout(self, reader: request_reader.RequestReader) -> bool:
         if self.closing:
             return False
         if reader.began_at is not None:
-            self.refuse_bytes(
+            self.reject(
                 request_reader.Refusal(
                     status=408, reason="request came too slowly"
                 )
@@ -218,13 +222,13 @@
         self.exchanges += 1
         self.answer_begun = False
         self.answer_ended = False
-        self._unbegun = request
+        self._pending_request = request
         self._on_idle(self, False)
         self._handler = gevent.Greenlet(self._run_handler, request)
         self._begin(self._handler, request)
 
     def _run_handler(self, request: messages.Request) -> None:
-        self._unbegun = None
+        self._pending_request = None
         try:
             self._handle(self, request)
         except OSError:
@@ -233,31 +237,32 @@
             self._handler = None
             self.idle_since = time.monotonic()
             self._idle_timeout = self._limits().idle_timeout
-            if not self._ended:
+            if not self._has_finished:
                 self._on_idle(self, True)
 
     def abort(self) -> None:
-        """Cut the connection, so that no answer on it looks whole."""
+        """Abort the connection, so that no response on it looks complete."""
         self._aborted = True
         self._socket.settimeout(0.0)
-        # The caller may have closed first; then there is nothing to cut.
+        # The caller may already have closed the connection.
         with contextlib.suppress(OSError):
             self._socket.shutdown(plain_socket.SHUT_RDWR)
 
     def close_idle(self) -> None:
-        """End our side unless a request has come that was not read yet.
+        """Close our side unless a request was received but not read yet.
 
-        A busy process reads late. Ending its side of a connection on which a
-        whole request lies would leave that caller without an answer.
+        A busy process reads with a delay. Closing a connection that holds an
+        unread request would leave its caller without a response.
         """
         if self.is_idle and not self._has_unread():
-            self.close_softly()
+            self.close_gracefully()
 
     def has_left(self) -> bool:
-        """Tell whether the caller closed, though nobody may have read that.
+        """Return whether the caller has closed the connection.
 
-        A busy process reads late. What it sends on after its caller has left
-        costs a backend server work that is for nobody.
+        A busy process reads with a delay, so ``run`` may not have noticed yet.
+        A request forwarded after its caller disconnected would waste the work
+        of a backend server.
         """
         return self._peek() == b""
 
@@ -265,9 +270,9 @@
         return bool(self._peek())
 
     def _peek(self) -> bytes | None:
-        """Return the next unread byte, or none after the caller's end.
+        """Return the next unread byte, empty if the caller has closed.
 
-        ``None`` if nothing has come yet.
+        ``None`` if nothing was received yet.
         """
         timeout = self._socket.gettimeout()
         self._socket.settimeout(0.0)
@@ -276,14 +281,14 @@
         except BlockingIOError:
             return None
         except OSError:
-            # Reset, or closed by the reader, whose word to end the handler
-            # may still wait for its turn in the loop.
+            # Reset, or closed by ``run``, whose signal to stop the handler may
+            # still be queued in the event loop.
             return b""
         finally:
             self._socket.settimeout(timeout)
 
-    def close_softly(self) -> None:
-        """End our side; the caller's end is awaited for a moment."""
+    def close_gracefully(self) -> None:
+        """Close our side and wait a moment for the caller to close."""
         if self.closing:
             return
         self.closing = True
@@ -294,11 +299,11 @@
             self._aborted = True
 
     def close_after_answer(self) -> None:
-        """End the connection after the answer, announced if it can be.
+        """Close the connection after the current response.
 
-        An answer whose head is out already is followed by the end itself. A
-        caller that had just sent its next request sees it unread, and may
-        send it again.
+        The response announces this if its head was not sent yet. Otherwise the
+        connection is closed without notice; a caller that has just sent its
+        next request sees that it was not read, and may retry it.
         """
         self._keep_alive = False
 
@@ -306,7 +311,7 @@
         """Write bytes.
 
         Raises:
-            OSError: The caller is gone, or does not read.
+            OSError: The caller has disconnected, or does not read.
         """
         self._socket.settimeout(10.0)
         self._socket.sendall(data)
@@ -318,7 +323,7 @@
         headers: Iterable[tuple[bytes, bytes]],
         body: bytes,
     ) -> None:
-        """Send an answer of known length."""
+        """Send a response of known length."""
         framed = [*headers, (b"Content-Length", b"%d" % len(body))]
         self._send_head(status, framed, body)
         self._finish()
@@ -326,16 +331,16 @@
     def begin_stream(
         self, *, status: int, headers: Iterable[tuple[bytes, bytes]]
     ) -> None:
-        """Send the head of an answer whose length is not known."""
+        """Send the head of a response of unknown length."""
         framed = [*headers, (b"Transfer-Encoding", b"chunked")]
         self._send_head(status, framed, b"")
 
     def send_chunk(self, data: bytes) -> None:
-        """Send a piece of the answer."""
+        """Send one chunk of the response."""
         self.write(messages.write_chunk(data))
 
     def end_stream(self) -> None:
-        """Mark the answer as whole."""
+        """Send the last chunk, which marks the response as complete."""
         self.write(messages.LAST_CHUNK)
         self._finish()
 
@@ -350,13 +355,15 @@
     def _finish(self) -> None:
         self.answer_ended = True
         if not self._keep_alive:
-            self.close_softly()
+            self.close_gracefully()
 
 
-def _begin_at_once(handler: gevent.Greenlet, request: messages.Request) -> None:
+def _start_immediately(
+    handler: gevent.Greenlet, request: messages.Request
+) -> None:
     del request
     handler.start()
 
 
-def _ignore(*facts: object) -> None:
-    del facts
+def _do_nothing(*args: object) -> None:
+    del args
--- a/packages/daisypick_http/tests/descriptors.py
+++ b/packages/daisypick_http/tests/descriptors.py
@@ -1,25 +1,25 @@
-"""A process that has no descriptor left."""
+"""A test process without free file descriptors."""
 
 from collections.abc import Iterator
 import contextlib
 import os
 import resource
 
-_MOST_FILES = 1024
+_MAX_FILES = 1024
 
 
 @contextlib.contextmanager
 def run_out() -> Iterator[None]:
-    """Take all descriptors that this process has left."""
+    """Use up all free file descriptors of this process."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (_MOST_FILES, hard))
-    taken = []
+    resource.setrlimit(resource.RLIMIT_NOFILE, (_MAX_FILES, hard))
+    duplicated = []
     with contextlib.suppress(OSError):
         while True:
-            taken.append(os.dup(0))
+            duplicated.append(os.dup(0))
     try:
         yield
     finally:
-        for descriptor in taken:
+        for descriptor in duplicated:
             os.close(descriptor)
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
--- a/packages/daisypick_http/tests/fresh_loop.py
+++ b/packages/daisypick_http/tests/fresh_loop.py
@@ -1,7 +1,7 @@
-"""Tests that need an event loop which no other test has used.
+"""Runs tests on an event loop that no other test has used.
 
-A loop takes more events from the kernel in one turn once it has met more, so
-what happens to the rest shows only in a new one.
+A loop takes more events from the kernel per iteration once it has received
+many at once, so only a new loop leaves some of them for a later iteration.
 """
 
 from collections.abc import Callable
@@ -14,42 +14,42 @@
 
 
 def run(test: Callable[[], None]) -> Callable[[], None]:
-    """Return the test, run in a thread of its own and thus on a new loop."""
+    """Return the test wrapped to run in a new thread and so on a new loop."""
 
     @functools.wraps(test)
     def _run() -> None:
-        raised: list[BaseException] = []
+        errors: list[BaseException] = []
 
         def _catch() -> None:
             try:
                 test()
             except BaseException as error:  # noqa: BLE001
-                raised.append(error)
+                errors.append(error)
             finally:
-                _end_loop()
+                _stop_loop()
 
         thread = threading.Thread(target=_catch)
         thread.start()
         thread.join()
-        if raised:
-            raise raised[0]
+        if errors:
+            raise errors[0]
 
     return _run
 
 
-def _end_loop() -> None:
-    """End what the test has started on this thread's loop."""
+def _stop_loop() -> None:
+    """Stop everything that the test started on this thread's loop."""
     hub = gevent.get_hub()
-    for found in gc.get_objects():
-        if isinstance(found, server.BaseServer) and found.loop is hub.loop:
-            found.close()
+    for item in gc.get_objects():
+        if isinstance(item, server.BaseServer) and item.loop is hub.loop:
+            item.close()
     gevent.killall(
         [
-            found
-            for found in gc.get_objects()
-            if isinstance(found, gevent.Greenlet)
-            and not found.dead
-            and found.parent is hub
+            item
+            for item in gc.get_objects()
+            if isinstance(item, gevent.Greenlet)
+            and not item.dead
+            and item.parent is hub
         ],
         timeout=2.0,
     )
--- a/packages/daisypick_http/tests/test_connection.py
+++ b/packages/daisypick_http/tests/test_connection.py
@@ -1,4 +1,4 @@
-"""Connections to other processes, in a process whose loop is held up."""
+"""Connections to other processes, in a process with a delayed event loop."""
 
 import time
 
@@ -11,7 +11,7 @@
 
 from daisypick_http import connection as connections
 
-# More than the event loop takes from the kernel in one turn.
+# More than the event loop takes from the kernel per iteration.
 _CONNECTIONS = 150
 
 
@@ -41,8 +41,8 @@
 
 
 @fresh_loop.run
-def test_answers_that_lie_unread_are_read_after_the_timeout():
-    """Guards against giving up sound servers for one's own late loop (LOST)."""
+def test_responses_received_in_time_are_read_after_the_timer_has_run():
+    """Guards against requests lost by a late loop that gives up servers."""
     peer = _Peer()
     opened = []
     for _ in range(_CONNECTIONS):
@@ -63,8 +63,8 @@
     assert all(connection.reader.complete for connection in opened)
 
 
-def test_silent_server_is_given_up():
-    """Guards against waiting on for a server that says nothing."""
+def test_server_that_sends_nothing_times_out():
+    """Guards against waiting longer than the timeout for a server."""
     connection = _open(_Peer().address)
     connection.send(b"GET / HTTP/1.1\r\n\r\n", method=b"GET", timeout=1.0)
     with pytest.raises(connections.AnswerTimeoutError):
@@ -72,8 +72,8 @@
 
 
 @fresh_loop.run
-def test_connections_that_stand_are_used_after_the_timeout():
-    """Guards against taking reachable servers for down (LOST)."""
+def test_connections_established_in_time_are_used_after_the_timer_has_run():
+    """Guards against requests lost because reachable servers seem down."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(512)
@@ -88,7 +88,7 @@
     )
 
 
-def test_server_that_does_not_accept_is_given_up():
+def test_connecting_to_a_server_that_does_not_accept_times_out():
     """Guards against waiting on for a connection that is not established."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
--- a/packages/daisypick_http/tests/test_pool.py
+++ b/packages/daisypick_http/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections, in a process that has no descriptor left."""
+"""Persistent connections in a process without free file descriptors."""
 
 import descriptors
 import gevent
@@ -30,8 +30,8 @@
     pool.give_back(connection)
 
 
-def test_idle_connections_give_way_when_descriptors_run_out():
-    """Guards against refusing work for connections that nobody uses (LOST)."""
+def test_idle_connection_is_closed_when_descriptors_run_out():
+    """Guards against lost requests while idle connections hold descriptors."""
     pool = pools.Pool(connect_timeout=1.0)
     first, second = _serve(), _serve()
     _exchange(pool, first)
@@ -41,8 +41,8 @@
     assert pool.opened == 2
 
 
-def test_missing_descriptors_are_told_from_a_server_that_is_down():
-    """Guards against blaming servers for what this process lacks (LOST)."""
+def test_missing_descriptors_are_distinguished_from_an_unreachable_server():
+    """Guards against requests lost by blaming servers for a local fault."""
     pool = pools.Pool(connect_timeout=1.0)
     address = _serve()
     with (
--- a/packages/daisypick_http/tests/test_request_reader.py
+++ b/packages/daisypick_http/tests/test_request_reader.py
@@ -1,4 +1,4 @@
-"""Bytes of callers that must not become somebody else's request."""
+"""A caller's bytes must not become part of another request."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 _HEAD = b"POST /a/ HTTP/1.1\r\nHost: h\r\n"
 
 
-def test_body_by_length_and_by_chunks_is_the_same():
+def test_body_is_the_same_by_length_and_by_chunks():
     by_length = _read(_HEAD + b"Content-Length: 4\r\n\r\nbody")
     by_chunks = _read(
         _HEAD + b"Transfer-Encoding: chunked\r\n\r\n",
@@ -26,7 +26,7 @@
     assert by_length.requests[0].body == by_chunks.requests[0].body == b"body"
 
 
-def test_request_is_handed_on_only_when_whole():
+def test_request_is_released_only_when_complete():
     reader = _read(_HEAD + b"Content-Length: 4\r\n\r\nbod")
     assert reader.requests == []
     reader.feed(b"y", 2.0)
@@ -43,14 +43,14 @@
         b"Host: other\r\n",
     ],
 )
-def test_two_framings_or_hosts_are_refused(lines):
-    """A request that two readers frame differently hides a second one."""
+def test_ambiguous_framing_or_hosts_are_rejected(lines):
+    """Guards against request smuggling: parsers may frame them differently."""
     reader = _read(_HEAD + lines + b"\r\nGET /b/ HTTP/1.1\r\nHost: h\r\n\r\n")
     assert reader.requests == []
     assert reader.refusal.status == 400
 
 
-def test_limits_are_refused_with_their_status():
+def test_requests_over_a_limit_are_rejected_with_its_status():
     big_head = _read(_HEAD + b"X: " + b"x" * 3000)
     assert big_head.refusal.status == 431
     declared = _read(_HEAD + b"Content-Length: 101\r\n\r\n")
@@ -62,7 +62,7 @@
     assert chunked.refusal.status == 413
 
 
-def test_pipelined_requests_come_in_order():
+def test_pipelined_requests_are_read_in_order():
     one = b"GET /%d/ HTTP/1.1\r\nHost: h\r\n\r\n"
     reader = _read(one % 1 + one % 2)
     assert [found.target for found in reader.requests] == [b"/1/", b"/2/"]
--- a/packages/daisypick_http/tests/test_response_reader.py
+++ b/packages/daisypick_http/tests/test_response_reader.py
@@ -1,12 +1,12 @@
-"""Whole answers told apart from broken, late and surplus ones."""
+"""Complete responses are told from truncated, invalid and surplus ones."""
 
-from daisypick_http import answer_reader
+from daisypick_http import response_reader
 
 _OK = b"HTTP/1.1 200 OK\r\n"
 
 
 def _read(*pieces, end=False):
-    reader = answer_reader.AnswerReader(method=b"GET")
+    reader = response_reader.ResponseReader(method=b"GET")
     for piece in pieces:
         reader.feed(piece)
     if end:
@@ -14,7 +14,7 @@
     return reader
 
 
-def test_answer_by_length_is_whole_only_with_its_last_byte():
+def test_response_with_length_is_complete_only_with_its_last_byte():
     reader = _read(_OK + b"Content-Length: 4\r\n\r\nbod", end=True)
     assert not reader.complete
     assert reader.broken
@@ -23,7 +23,7 @@
     assert reader.take_body() == b"body"
 
 
-def test_answer_without_framing_ends_with_its_connection():
+def test_response_without_framing_ends_with_its_connection():
     reader = _read(_OK + b"\r\nbody")
     assert not reader.complete
     reader.feed_end()
@@ -31,14 +31,14 @@
     assert not reader.keep_alive
 
 
-def test_chunked_answer_that_breaks_off_is_not_whole():
+def test_truncated_chunked_response_is_not_complete():
     head = _OK + b"Transfer-Encoding: chunked\r\n\r\n"
     assert not _read(head + b"3\r\nabc\r\n", end=True).complete
     assert _read(head + b"3\r\nabc\r\n0\r\n\r\n").complete
 
 
-def test_second_answer_in_the_same_bytes_is_kept_apart():
-    """A late answer and the one that is waited for arrive together."""
+def test_second_response_in_the_same_bytes_is_kept_apart():
+    """A late response and the expected one are received together."""
     one = _OK + b"Content-Length: 1\r\n\r\n"
     reader = _read(one + b"1" + one + b"2")
     assert reader.take_body() == b"1"
@@ -49,17 +49,17 @@
     assert not reader.surplus
 
 
-def test_garbage_after_a_whole_answer_ends_the_connection_only():
+def test_invalid_bytes_after_a_complete_response_only_end_the_connection():
     reader = _read(_OK + b"Content-Length: 1\r\n\r\n1\x00garbage")
     assert reader.complete
     assert not reader.keep_alive
 
 
-def test_bytes_that_are_no_answer_are_broken():
+def test_bytes_that_are_not_http_are_broken():
     assert _read(b"\x16\x03\x01 hello\r\n\r\n").broken
 
 
-def test_interim_answer_is_passed_over():
+def test_interim_response_is_skipped():
     reader = _read(
         b"HTTP/1.1 103 Early\r\n\r\n" + _OK, b"Content-Length: 0\r\n\r\n"
     )
--- a/packages/daisypick_http/tests/test_server.py
+++ b/packages/daisypick_http/tests/test_server.py
@@ -9,7 +9,7 @@
 
 from daisypick_http import server
 
-# More than the event loop takes from the kernel in one turn.
+# More than the event loop takes from the kernel per iteration.
 _CALLERS = 150
 
 
@@ -43,8 +43,8 @@
 
 
 @fresh_loop.run
-def test_request_whose_rest_lies_unread_is_not_refused_as_slow():
-    """Guards against a 408 for what came in time and was read late."""
+def test_request_received_in_time_but_read_late_is_not_rejected_as_slow():
+    """Guards against status 408 for requests that a delayed loop reads late."""
     served = _Served()
     callers = []
     for _ in range(_CALLERS):
@@ -62,15 +62,15 @@
     assert answers == [b"HTTP/1.1 200"] * _CALLERS
 
 
-def test_request_that_comes_too_slowly_is_refused():
-    """Guards against connections that are held by half a request."""
+def test_request_received_too_slowly_is_rejected():
+    """Guards against connections held open by an incomplete request."""
     caller = socket.create_connection(_Served().address)
     caller.sendall(b"GET / HTTP/1.1\r\n")
     assert caller.recv(12) == b"HTTP/1.1 408"
 
 
-def test_request_that_crosses_the_end_is_told_of():
-    """Guards against requests that get no answer without a trace (LOST)."""
+def test_request_that_arrives_after_our_close_is_reported_as_dropped():
+    """Guards against lost requests that leave no trace in the log."""
     served = _Served()
     caller = socket.create_connection(served.address)
     while not served.connections:
@@ -81,4 +81,4 @@
     caller.close()
     while not served.dropped:
         gevent.sleep(0.005)
-    assert served.dropped == ["came after our end"]
+    assert served.dropped == ["arrived after our side was closed"]
