--- a/packages/daisypick_core/src/daisypick_core/messages/frame.py
+++ b/packages/daisypick_core/src/daisypick_core/messages/frame.py
@@ -2,8 +2,8 @@
 
 A response is a sequence of frames, one JSON array per line. It is complete
 only if it ends with an ``END`` or a ``REFUSED`` frame; a stream that ends
-earlier is resumed from the last offset. ``BEAT`` frames are heartbeats that the
-agent sends while it has no other frame to send.
+earlier is resumed from the last offset. The agent sends ``BEAT`` frames as
+heartbeats while it has no other frame to send.
 
 Examples:
     >>> frame = Frame(kind=DATA, offset=0, data=b"hello")
