--- a/packages/daisypick_http/src/daisypick_http/connection.py
+++ b/packages/daisypick_http/src/daisypick_http/connection.py
@@ -121,9 +121,9 @@
             address: IP address and port.
             connect_timeout: Seconds within which the connection must be
                 established.
-            silence_limit: Seconds after which the kernel closes a connection
-                whose peer does not respond to keepalive probes; ``None`` for
-                no probes.
+            silence_limit: Seconds after which the kernel closes the
+                connection if the peer does not respond to keepalive probes;
+                ``None`` for no probes.
 
         Raises:
             NoDescriptorsError: This process has no free file descriptor.
