--- a/packages/daisypick_core/src/daisypick_core/serving/route_table.py
+++ b/packages/daisypick_core/src/daisypick_core/serving/route_table.py
@@ -33,7 +33,7 @@
         path_prefix: Begins and ends with a slash.
         kind: ``SAFE`` (may be repeated), ``UNSAFE`` (runs at most once) or
             ``STREAMING`` (responds with events).
-        timeout: Maximum time until the response, in seconds.
+        timeout: Maximum time that a caller waits, in seconds.
         objective: Latency objective in seconds; for a stream up to its first
             event.
         weight_by_service: Services and their shares of the requests.
--- a/packages/daisypick_http/src/daisypick_http/connection.py
+++ b/packages/daisypick_http/src/daisypick_http/connection.py
@@ -101,7 +101,8 @@
 
     Attributes:
         address: IP address and port of the peer.
-        idle_since: Monotonic time of the end of the last exchange.
+        idle_since: Monotonic time of the last release to the pool, or of
+            the opening.
         idle_limit: Seconds for which the peer keeps an idle connection, or
             ``None`` if the peer does not announce it.
         exchanges: Number of requests sent.
--- a/packages/daisypick_http/tests/test_pool.py
+++ b/packages/daisypick_http/tests/test_pool.py
@@ -8,16 +8,16 @@
 from daisypick_http import connection as connections
 from daisypick_http import pool as pools
 
-_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
 def _serve():
-    def _answer(connected, address):
+    def _respond(connected, address):
         del address
         while connected.recv(1000):
-            connected.sendall(_ANSWER)
+            connected.sendall(_RESPONSE)
 
-    server = gevent_server.StreamServer(("127.0.0.1", 0), _answer)
+    server = gevent_server.StreamServer(("127.0.0.1", 0), _respond)
     server.start()
     return "127.0.0.1", server.server_port
 
--- a/packages/daisypick_http/tests/test_server.py
+++ b/packages/daisypick_http/tests/test_server.py
@@ -13,13 +13,13 @@
 _CALLERS = 150
 
 
-def _answer(connection, request):
+def _respond(connection, request):
     del request
     connection.send_whole(status=200, headers=(), body=b"")
 
 
-class _Served:
-    """Callers' connections of one listener."""
+class _Listener:
+    """A listener that records its connections and dropped requests."""
 
     def __init__(self):
         self.connections = []
@@ -34,7 +34,7 @@
         del address
         connection = server.CallerConnection(
             socket=connected,
-            handle=_answer,
+            handle=_respond,
             limits=lambda: server.Limits(header_timeout=1.0),
             on_drop=lambda request, reason: self.dropped.append(reason),
         )
@@ -45,40 +45,40 @@
 @fresh_loop.run
 def test_request_received_in_time_but_read_late_is_not_rejected_as_slow():
     """Guards against status 408 for requests that a delayed loop reads late."""
-    served = _Served()
+    listener = _Listener()
     callers = []
     for _ in range(_CALLERS):
-        callers.append(socket.create_connection(served.address))
+        callers.append(socket.create_connection(listener.address))
         callers[-1].sendall(b"GET / HTTP/1.1\r\n")
         gevent.sleep(0)
-    while any(known.is_idle for known in served.connections) or (
-        len(served.connections) < _CALLERS
+    while any(known.is_idle for known in listener.connections) or (
+        len(listener.connections) < _CALLERS
     ):
         gevent.sleep(0.005)
     for caller in callers:
         caller.sendall(b"Host: plots.example\r\n\r\n")
     time.sleep(1.3)
-    answers = [caller.recv(12) for caller in callers]
-    assert answers == [b"HTTP/1.1 200"] * _CALLERS
+    responses = [caller.recv(12) for caller in callers]
+    assert responses == [b"HTTP/1.1 200"] * _CALLERS
 
 
 def test_request_received_too_slowly_is_rejected():
     """Guards against connections held open by an incomplete request."""
-    caller = socket.create_connection(_Served().address)
+    caller = socket.create_connection(_Listener().address)
     caller.sendall(b"GET / HTTP/1.1\r\n")
     assert caller.recv(12) == b"HTTP/1.1 408"
 
 
 def test_request_that_arrives_after_our_close_is_reported_as_dropped():
     """Guards against lost requests that leave no trace in the log."""
-    served = _Served()
-    caller = socket.create_connection(served.address)
-    while not served.connections:
+    listener = _Listener()
+    caller = socket.create_connection(listener.address)
+    while not listener.connections:
         gevent.sleep(0.005)
-    served.connections[0].close_idle()
+    listener.connections[0].close_idle()
     caller.sendall(b"GET / HTTP/1.1\r\nHost: plots.example\r\n\r\n")
     assert caller.recv(1) == b""
     caller.close()
-    while not served.dropped:
+    while not listener.dropped:
         gevent.sleep(0.005)
-    assert served.dropped == ["arrived after our side was closed"]
+    assert listener.dropped == ["arrived after our side was closed"]
