--- /dev/null
+++ b/packages/daisypick_http/src/daisypick_http/response_reader.py
@@ -0,0 +1,145 @@
+"""Parses the bytes of a backend server's connection into responses.
+
+The reader tracks how a response is framed (by length, by chunks, or by the end
+of the connection), so that its user can tell a complete response from a
+truncated one. Servers may send more responses than requested; the reader keeps
+them apart, and its user decides when to skip the first one.
+"""
+
+import collections
+
+import httptools
+
+from daisypick_http import messages
+
+
+class _Response:
+    """One response as far as it was read."""
+
+    __slots__ = ("body", "complete", "head", "keep_alive", "until_close")
+
+    def __init__(self) -> None:
+        self.head: messages.AnswerHead | None = None
+        self.body: list[bytes] = []
+        self.complete = False
+        self.until_close = False
+        self.keep_alive = False
+
+
+class ResponseReader:
+    """Incremental parser for the responses of one connection.
+
+    Attributes:
+        broken: Why the bytes are not a valid response, or ``None``.
+    """
+
+    def __init__(self, *, method: bytes) -> None:
+        self._parser = httptools.HttpResponseParser(self)
+        self._method = method
+        self._responses: collections.deque[_Response] = collections.deque()
+        self._responses.append(_Response())
+        self._headers: list[tuple[bytes, bytes]] = []
+        self._has_trailing_bytes = False
+        self.broken: str | None = None
+
+    @property
+    def head(self) -> messages.AnswerHead | None:
+        """Status and headers; interim responses (1xx) are skipped."""
+        return self._responses[0].head
+
+    @property
+    def complete(self) -> bool:
+        """Whether the response is complete by its framing."""
+        return self._responses[0].complete
+
+    @property
+    def surplus(self) -> bool:
+        """Whether bytes were received after the complete response."""
+        return self._has_trailing_bytes or len(self._responses) > 1
+
+    @property
+    def keep_alive(self) -> bool:
+        """Whether the connection may carry another request."""
+        return self._responses[0].keep_alive and not self._has_trailing_bytes
+
+    def feed(self, data: bytes) -> None:
+        """Parse received bytes."""
+        if self.broken is not None or self._has_trailing_bytes:
+            return
+        try:
+            self._parser.feed_data(data)
+        except httptools.HttpParserUpgrade:
+            self.broken = "upgrade was not asked for"
+        except httptools.HttpParserError as error:
+            # Invalid bytes after a complete response make the connection
+            # unusable, but not that response.
+            if self.complete:
+                self._has_trailing_bytes = True
+            else:
+                self.broken = str(error)
+
+    def feed_end(self) -> None:
+        """Handle the orderly end of the connection."""
+        last = self._responses[-1]
+        last.keep_alive = False
+        if last.head is not None and last.until_close and not self.broken:
+            last.complete = True
+        if not self.complete:
+            self.broken = self.broken or "connection ended within the answer"
+
+    def pass_over(self) -> None:
+        """Drop the first response and continue with the next one."""
+        self._responses.popleft()
+        if not self._responses:
+            self._responses.append(_Response())
+
+    def take_body(self) -> bytes:
+        """Return the bytes of the body received since the last call."""
+        body = self._responses[0].body
+        if not body:
+            return b""
+        data = b"".join(body)
+        body.clear()
+        return data
+
+    # Callbacks of httptools.
+
+    def on_message_begin(self) -> None:
+        """Start the next response if the previous one is complete."""
+        if self._responses[-1].complete:
+            self._responses.append(_Response())
+        self._headers = []
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Collect a header."""
+        self._headers.append((name, value))
+
+    def on_headers_complete(self) -> None:
+        """Determine how the response is framed."""
+        status = self._parser.get_status_code()
+        if status < 200:
+            return
+        headers = tuple(self._headers)
+        response = self._responses[-1]
+        response.head = messages.AnswerHead(status=status, headers=headers)
+        response.keep_alive = self._parser.should_keep_alive()
+        if self._method == b"HEAD" or status in (204, 304):
+            response.complete = True
+            response.keep_alive = False
+            return
+        coding = messages.find_header(headers, b"transfer-encoding")
+        length = messages.find_header(headers, b"content-length")
+        response.until_close = length is None and coding is None
+
+    def on_body(self, body: bytes) -> None:
+        """Collect a part of the body."""
+        self._responses[-1].body.append(body)
+
+    def on_message_complete(self) -> None:
+        """Mark the response as complete.
+
+        A response without framing is complete only at the connection's end.
+        """
+        response = self._responses[-1]
+        if response.head is not None and not response.until_close:
+            response.complete = True
--- a/packages/daisypick_http/tests/test_pool.py
+++ b/packages/daisypick_http/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections, in a process that has no descriptor left."""
+"""Persistent connections in a process without free file descriptors."""
 
 import descriptors
 import gevent
@@ -8,16 +8,16 @@
 from daisypick_http import connection as connections
 from daisypick_http import pool as pools
 
-_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
 def _serve():
-    def _answer(connected, address):
+    def _respond(connected, address):
         del address
         while connected.recv(1000):
-            connected.sendall(_ANSWER)
+            connected.sendall(_RESPONSE)
 
-    server = gevent_server.StreamServer(("127.0.0.1", 0), _answer)
+    server = gevent_server.StreamServer(("127.0.0.1", 0), _respond)
     server.start()
     return "127.0.0.1", server.server_port
 
@@ -30,8 +30,8 @@
     pool.give_back(connection)
 
 
-def test_idle_connections_give_way_when_descriptors_run_out():
-    """Guards against refusing work for connections that nobody uses (LOST)."""
+def test_idle_connection_is_closed_when_descriptors_run_out():
+    """Guards against lost requests while idle connections hold descriptors."""
     pool = pools.Pool(connect_timeout=1.0)
     first, second = _serve(), _serve()
     _exchange(pool, first)
@@ -41,8 +41,8 @@
     assert pool.opened == 2
 
 
-def test_missing_descriptors_are_told_from_a_server_that_is_down():
-    """Guards against blaming servers for what this process lacks (LOST)."""
+def test_missing_descriptors_are_distinguished_from_an_unreachable_server():
+    """Guards against requests lost by blaming servers for a local fault."""
     pool = pools.Pool(connect_timeout=1.0)
     address = _serve()
     with (
