--- a/packages/daisypick_core/src/daisypick_core/scheduling/__init__.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/__init__.py
@@ -21,7 +21,7 @@
 * ``hosts``: which router hosts the scheduler of a service.
 * ``pauses``: organisations whose requests a router refuses for a moment.
 * ``cold_limits``: rate limits of routers at servers that may be cold.
-* ``reading_speed``: prediction of the time to first token.
+* ``prefill_speed``: prediction of the time to first token.
 * ``admission``: which requests may wait, and for how long.
 * ``fleet_report``: estimated state of engines, for logs.
 * ``actions``: what a scheduler returns to its driver.
--- a/packages/daisypick_core/src/daisypick_core/scheduling/admission.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/admission.py
@@ -11,7 +11,7 @@
 from daisypick_core.scheduling import engine_fleet
 from daisypick_core.scheduling import fair_share
 from daisypick_core.scheduling import job
-from daisypick_core.scheduling import reading_speed
+from daisypick_core.scheduling import prefill_speed
 from daisypick_core.scheduling import wait_queue
 
 # Bounds of the share of its objective that a request may wait. Within them it
@@ -35,7 +35,7 @@
         waiting: wait_queue.WaitQueue,
         shares: fair_share.FairShare,
         fleet: engine_fleet.EngineFleet,
-        speed: reading_speed.ServiceSpeed,
+        speed: prefill_speed.ServiceSpeed,
         rng: random.Random,
     ) -> None:
         self._waiting = waiting
--- a/packages/daisypick_core/src/daisypick_core/scheduling/engine_estimate.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/engine_estimate.py
@@ -10,8 +10,8 @@
 import itertools
 
 from daisypick_core.scheduling import job
+from daisypick_core.scheduling import prefill_speed
 from daisypick_core.scheduling import prefix_cache
-from daisypick_core.scheduling import reading_speed
 
 # Share of the KV cache that is given to running requests. Outputs are longer
 # than expected about half of the time, and an engine that runs out of memory
@@ -77,7 +77,7 @@
         *,
         slots: int,
         kv_tokens: int,
-        speed: reading_speed.EngineSpeed,
+        speed: prefill_speed.EngineSpeed,
     ) -> None:
         self.slots = slots
         self.kv_tokens = kv_tokens
--- a/packages/daisypick_core/src/daisypick_core/scheduling/engine_fleet.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/engine_fleet.py
@@ -11,8 +11,8 @@
 and the time of a decision stays bounded.
 
 Examples:
-    >>> from daisypick_core.scheduling import reading_speed, server_state
-    >>> fleet = EngineFleet(kv_tokens=1000, speed=reading_speed.ServiceSpeed())
+    >>> from daisypick_core.scheduling import prefill_speed, server_state
+    >>> fleet = EngineFleet(kv_tokens=1000, speed=prefill_speed.ServiceSpeed())
     >>> state = server_state.ServerState("e-0", slots=8, cold_until=0, born=1)
     >>> fleet.put(state)
     >>> fleet.slots, fleet.running, len(fleet)
@@ -29,7 +29,7 @@
 from daisypick_core.queues import indexed_set
 from daisypick_core.scheduling import engine_estimate
 from daisypick_core.scheduling import job
-from daisypick_core.scheduling import reading_speed
+from daisypick_core.scheduling import prefill_speed
 from daisypick_core.scheduling import recent_holders
 from daisypick_core.scheduling import server_state
 from daisypick_core.serving import outcomes
@@ -58,7 +58,7 @@
     """
 
     def __init__(
-        self, *, kv_tokens: int, speed: reading_speed.ServiceSpeed
+        self, *, kv_tokens: int, speed: prefill_speed.ServiceSpeed
     ) -> None:
         self._kv_tokens = kv_tokens
         self._speed = speed
@@ -109,7 +109,7 @@
         return engine_estimate.EngineEstimate(
             slots=slots,
             kv_tokens=self._kv_tokens,
-            speed=reading_speed.EngineSpeed(service=self._speed),
+            speed=prefill_speed.EngineSpeed(service=self._speed),
         )
 
     def replace_all(self, states: Iterable[server_state.ServerState]) -> None:
--- a/packages/daisypick_core/src/daisypick_core/scheduling/scheduler.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/scheduler.py
@@ -31,7 +31,7 @@
 from daisypick_core.scheduling import job
 from daisypick_core.scheduling import organisation_tally
 from daisypick_core.scheduling import placement
-from daisypick_core.scheduling import reading_speed
+from daisypick_core.scheduling import prefill_speed
 from daisypick_core.scheduling import recent_keys
 from daisypick_core.scheduling import server_state
 from daisypick_core.scheduling import wait_queue
@@ -77,7 +77,7 @@
         cold_rate: float,
         window_seconds: float,
         rng: random.Random,
-        speed: reading_speed.ServiceSpeed,
+        speed: prefill_speed.ServiceSpeed,
     ) -> None:
         self._copy_token_seconds = copy_token_seconds
         self._rng = rng
--- a/packages/daisypick_core/tests/scheduling/test_engine_candidates.py
+++ b/packages/daisypick_core/tests/scheduling/test_engine_candidates.py
@@ -3,14 +3,14 @@
 from daisypick_core.scheduling import engine_candidates
 from daisypick_core.scheduling import engine_fleet
 from daisypick_core.scheduling import job
-from daisypick_core.scheduling import reading_speed
+from daisypick_core.scheduling import prefill_speed
 from daisypick_core.scheduling import server_state
 
 
 def _fleet(engines, *, slots=4):
     fleet = engine_fleet.EngineFleet(
         kv_tokens=1_000_000,
-        speed=reading_speed.ServiceSpeed(base=0.01, token_seconds=1e-5),
+        speed=prefill_speed.ServiceSpeed(base=0.01, token_seconds=1e-5),
     )
     for number in range(engines):
         fleet.put(
--- a/packages/daisypick_core/tests/scheduling/test_engine_estimate.py
+++ b/packages/daisypick_core/tests/scheduling/test_engine_estimate.py
@@ -5,7 +5,7 @@
 
 from daisypick_core.scheduling import engine_estimate
 from daisypick_core.scheduling import job
-from daisypick_core.scheduling import reading_speed
+from daisypick_core.scheduling import prefill_speed
 
 
 def _job(key, prompt):
@@ -24,11 +24,11 @@
 
 def _engine():
     """Make an engine that prefills 100,000 tokens per second."""
-    service = reading_speed.ServiceSpeed(base=0.01, token_seconds=1e-5)
+    service = prefill_speed.ServiceSpeed(base=0.01, token_seconds=1e-5)
     return engine_estimate.EngineEstimate(
         slots=4,
         kv_tokens=100_000,
-        speed=reading_speed.EngineSpeed(service=service),
+        speed=prefill_speed.EngineSpeed(service=service),
     )
 
 
@@ -125,11 +125,11 @@
     The first hundred requests come one by one. The engine has a fifth of the
     prompts cached, of which the estimate does not know.
     """
-    service = reading_speed.ServiceSpeed(base=base, token_seconds=1.0 / rate)
+    service = prefill_speed.ServiceSpeed(base=base, token_seconds=1.0 / rate)
     engine = engine_estimate.EngineEstimate(
         slots=64,
         kv_tokens=10**9,
-        speed=reading_speed.EngineSpeed(service=service),
+        speed=prefill_speed.EngineSpeed(service=service),
     )
     now = prefilled_until = 0.0
     first_tokens = []
--- a/packages/daisypick_core/tests/scheduling/test_engine_fleet.py
+++ b/packages/daisypick_core/tests/scheduling/test_engine_fleet.py
@@ -2,7 +2,7 @@
 
 from daisypick_core.scheduling import engine_fleet
 from daisypick_core.scheduling import job
-from daisypick_core.scheduling import reading_speed
+from daisypick_core.scheduling import prefill_speed
 from daisypick_core.scheduling import server_state
 
 
@@ -14,7 +14,7 @@
 
 def _fleet(*states):
     fleet = engine_fleet.EngineFleet(
-        kv_tokens=10_000, speed=reading_speed.ServiceSpeed()
+        kv_tokens=10_000, speed=prefill_speed.ServiceSpeed()
     )
     fleet.replace_all(states)
     return fleet
--- a/packages/daisypick_core/tests/scheduling/test_fleet_sizes.py
+++ b/packages/daisypick_core/tests/scheduling/test_fleet_sizes.py
@@ -15,7 +15,7 @@
 
 from daisypick_core.scheduling import actions
 from daisypick_core.scheduling import job
-from daisypick_core.scheduling import reading_speed
+from daisypick_core.scheduling import prefill_speed
 from daisypick_core.scheduling import scheduler as schedulers
 from daisypick_core.scheduling import server_state
 
@@ -44,7 +44,7 @@
             cold_rate=0.0,
             window_seconds=4.0,
             rng=self._rng,
-            speed=reading_speed.ServiceSpeed(
+            speed=prefill_speed.ServiceSpeed(
                 base=0.01, token_seconds=_TOKEN_SECONDS
             ),
         )
--- a/packages/daisypick_core/tests/scheduling/test_many_engines.py
+++ b/packages/daisypick_core/tests/scheduling/test_many_engines.py
@@ -7,7 +7,7 @@
 from daisypick_core.scheduling import actions
 from daisypick_core.scheduling import engine_estimate
 from daisypick_core.scheduling import job
-from daisypick_core.scheduling import reading_speed
+from daisypick_core.scheduling import prefill_speed
 from daisypick_core.scheduling import scheduler as schedulers
 from daisypick_core.scheduling import server_state
 
@@ -20,7 +20,7 @@
         cold_rate=20.0,
         window_seconds=4.0,
         rng=random.Random(1),
-        speed=reading_speed.ServiceSpeed(base=0.01, token_seconds=1e-5),
+        speed=prefill_speed.ServiceSpeed(base=0.01, token_seconds=1e-5),
     )
     scheduler.set_fleet(routers=["r-1"], share=1.0)
     scheduler.set_servers(
--- a/packages/daisypick_core/tests/scheduling/test_placement.py
+++ b/packages/daisypick_core/tests/scheduling/test_placement.py
@@ -3,7 +3,7 @@
 from daisypick_core.scheduling import engine_estimate
 from daisypick_core.scheduling import job
 from daisypick_core.scheduling import placement
-from daisypick_core.scheduling import reading_speed
+from daisypick_core.scheduling import prefill_speed
 
 TALK = job.Part(name="talk", tokens=5000)
 
@@ -25,12 +25,12 @@
 
 
 def _engines(*names):
-    service = reading_speed.ServiceSpeed(base=0.01, token_seconds=1e-5)
+    service = prefill_speed.ServiceSpeed(base=0.01, token_seconds=1e-5)
     return {
         name: engine_estimate.EngineEstimate(
             slots=64,
             kv_tokens=400_000,
-            speed=reading_speed.EngineSpeed(service=service),
+            speed=prefill_speed.EngineSpeed(service=service),
         )
         for name in names
     }
--- a/packages/daisypick_core/tests/scheduling/test_reading_speed.py
+++ b/packages/daisypick_core/tests/scheduling/test_prefill_speed.py
@@ -2,7 +2,7 @@
 
 import random
 
-from daisypick_core.scheduling import reading_speed
+from daisypick_core.scheduling import prefill_speed
 
 
 def _train(speed, rng, *, base, rate, count, noise=0.1):
@@ -29,14 +29,14 @@
     rng = random.Random(7)
     for rate in (5_000.0, 40_000.0, 300_000.0):
         for base in (0.005, 0.06):
-            speed = reading_speed.ServiceSpeed()
+            speed = prefill_speed.ServiceSpeed()
             _train(speed, rng, base=base, rate=rate, count=200)
             assert _find_max_error(speed, base=base, rate=rate) < 0.15
 
 
 def test_line_follows_a_change_of_speed():
     rng = random.Random(8)
-    speed = reading_speed.ServiceSpeed()
+    speed = prefill_speed.ServiceSpeed()
     _train(speed, rng, base=0.01, rate=100_000.0, count=300)
     _train(speed, rng, base=0.01, rate=25_000.0, count=300)
     assert _find_max_error(speed, base=0.01, rate=25_000.0) < 0.2
@@ -49,7 +49,7 @@
     host sends an engine millions of tokens at once.
     """
     rng = random.Random(9)
-    speed = reading_speed.ServiceSpeed()
+    speed = prefill_speed.ServiceSpeed()
     for _ in range(60):
         _train(speed, rng, base=0.05, rate=100_000.0, count=9)
         speed.learn(rng.choice((400, 9000)), rng.uniform(1.0, 4.0))
@@ -58,9 +58,9 @@
 
 def test_slow_engine_is_detected_after_a_few_first_tokens():
     rng = random.Random(10)
-    service = reading_speed.ServiceSpeed(base=0.01, token_seconds=1e-5)
+    service = prefill_speed.ServiceSpeed(base=0.01, token_seconds=1e-5)
     slow, *sound = (
-        reading_speed.EngineSpeed(service=service) for _ in range(6)
+        prefill_speed.EngineSpeed(service=service) for _ in range(6)
     )
     for _ in range(15):
         _train(slow, rng, base=0.05, rate=20_000.0, count=1)
--- a/packages/daisypick_core/tests/scheduling/test_scheduler.py
+++ b/packages/daisypick_core/tests/scheduling/test_scheduler.py
@@ -4,8 +4,8 @@
 
 from daisypick_core.scheduling import actions
 from daisypick_core.scheduling import job
+from daisypick_core.scheduling import prefill_speed
 from daisypick_core.scheduling import prefix_cache
-from daisypick_core.scheduling import reading_speed
 from daisypick_core.scheduling import scheduler as schedulers
 from daisypick_core.scheduling import server_state
 
@@ -16,7 +16,7 @@
         cold_rate=cold_rate,
         window_seconds=4.0,
         rng=random.Random(1),
-        speed=reading_speed.ServiceSpeed(base=0.01, token_seconds=1e-5),
+        speed=prefill_speed.ServiceSpeed(base=0.01, token_seconds=1e-5),
     )
     scheduler.set_fleet(
         routers=[f"r-{number}" for number in range(1, 6)], share=share
--- a/packages/daisypick_router/src/daisypick_router/engine_servers.py
+++ b/packages/daisypick_router/src/daisypick_router/engine_servers.py
@@ -16,7 +16,7 @@
 
 from daisypick_core.scheduling import actions
 from daisypick_core.scheduling import job
-from daisypick_core.scheduling import reading_speed
+from daisypick_core.scheduling import prefill_speed
 from daisypick_core.scheduling import scheduler as schedulers
 from daisypick_core.scheduling import server_state
 from daisypick_core.serving import backend_server
@@ -38,7 +38,7 @@
         discovery: "discoveries.Discovery",
         window_seconds: float,
         rng: random.Random,
-        speed_by_service: MutableMapping[str, reading_speed.ServiceSpeed],
+        speed_by_service: MutableMapping[str, prefill_speed.ServiceSpeed],
     ) -> None:
         self._discovery = discovery
         self._window_seconds = window_seconds
@@ -143,7 +143,7 @@
                 window_seconds=self._window_seconds,
                 rng=self._rng,
                 speed=self._speed_by_service.setdefault(
-                    service.name, reading_speed.ServiceSpeed()
+                    service.name, prefill_speed.ServiceSpeed()
                 ),
             )
             scheduler.set_fleet(routers=self._routers, share=self._share)
--- a/packages/daisypick_router/src/daisypick_router/process.py
+++ b/packages/daisypick_router/src/daisypick_router/process.py
@@ -12,7 +12,7 @@
 from gevent import server as gevent_server
 
 from daisypick_core.results import failure
-from daisypick_core.scheduling import reading_speed
+from daisypick_core.scheduling import prefill_speed
 from daisypick_core.serving import cold_limit
 from daisypick_core.serving import cold_parts
 from daisypick_core.serving import outcomes as outcome_records
@@ -111,7 +111,7 @@
         )
         # Shared, so that a router that becomes the host of a service already
         # knows the engines' reading speeds.
-        speed_by_service: dict[str, reading_speed.ServiceSpeed] = {}
+        speed_by_service: dict[str, prefill_speed.ServiceSpeed] = {}
         self.hosted, self._local_engines = (
             engine_servers.EngineServers(
                 discovery=self.discovery,
