--- a/packages/daisypick_core/src/daisypick_core/scheduling/admission.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/admission.py
@@ -23,7 +23,7 @@
 # Upper bound for one organisation that is over its share. The largest ones
 # start some 75 requests per second, so about this many start before the first
 # of them expires.
-MOST_WAITING_BEYOND = 32
+MAX_WAITING_OVER_SHARE = 32
 
 
 class Admission:
@@ -78,7 +78,7 @@
     def exceeds_queue_limit(self, work: job.Job, now: float) -> bool:
         """Return whether too many of an organisation over its share wait."""
         waiting = self._waiting.count(work.organisation)
-        return waiting >= MOST_WAITING_BEYOND and not self._shares.is_within(
+        return waiting >= MAX_WAITING_OVER_SHARE and not self._shares.is_within(
             work.organisation, work.cost, now
         )
 
--- a/packages/daisypick_router/src/daisypick_router/placing.py
+++ b/packages/daisypick_router/src/daisypick_router/placing.py
@@ -207,7 +207,7 @@
         pending = self._pending_by_service[service.name][organisation]
         if service_pauses.is_paused(organisation, now):
             reason = "its organisation was refused just before"
-        elif pending >= admission.MOST_WAITING_BEYOND:
+        elif pending >= admission.MAX_WAITING_OVER_SHARE:
             reason = "as many of its organisation ask as may wait"
         else:
             return None
--- a/packages/daisypick_router/tests/test_late_loop.py
+++ b/packages/daisypick_router/tests/test_late_loop.py
@@ -201,7 +201,7 @@
         )
         return len(submitted)
 
-    most = admission.MOST_WAITING_BEYOND
+    most = admission.MAX_WAITING_OVER_SHARE
     assert _submit("flood", most + 20) == most
     assert _submit("farm", most + 20) == most + 20
     decided.set()
