--- a/packages/daisypick_router/src/daisypick_router/engine_servers.py
+++ b/packages/daisypick_router/src/daisypick_router/engine_servers.py
@@ -190,7 +190,7 @@
         Only cold servers are limited.
         """
         scheduler = self.find_scheduler(service)
-        return scheduler.bears(router, server, time.monotonic())
+        return scheduler.can_handle(router, server, time.monotonic())
 
     def note_started_elsewhere(
         self,
