--- a/packages/daisypick_core/src/daisypick_core/scheduling/actions.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/actions.py
@@ -9,18 +9,18 @@
     Attributes:
         key: The request.
         server: Where it goes.
-        kept: Prompt tokens in the server's prefix cache, as estimated.
+        cached: Prompt tokens in the server's prefix cache, as estimated.
         ahead: Prompt tokens queued for prefill at the server before it.
-        elsewhere: Most prompt tokens that any server has cached, as estimated.
+        max_cached: Most prompt tokens that any server has cached, as estimated.
         source: Server from which KV cache is copied; empty for none.
         copied: Prompt tokens that are copied from there.
     """
 
     key: str
     server: str
-    kept: int = 0
+    cached: int = 0
     ahead: int = 0
-    elsewhere: int = 0
+    max_cached: int = 0
     source: str = ""
     copied: int = 0
 
--- a/packages/daisypick_core/src/daisypick_core/scheduling/scheduler.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/scheduler.py
@@ -383,9 +383,9 @@
         return actions.Start(
             key=work.key,
             server=server,
-            kept=chosen.cached,
+            cached=chosen.cached,
             ahead=int(chosen.ahead),
-            elsewhere=chosen.max_cached,
+            max_cached=chosen.max_cached,
             source=chosen.source,
             copied=chosen.copied,
         )
--- a/packages/daisypick_core/tests/scheduling/test_scheduler.py
+++ b/packages/daisypick_core/tests/scheduling/test_scheduler.py
@@ -295,7 +295,7 @@
     scheduler.note_end("a", 0.2)
     scheduler.set_servers([_state("e-0", born=2)])
     (start,) = scheduler.submit(_job("b", prompt=900, parts=talk, now=0.3), 0.3)
-    assert start.kept == 0
+    assert start.cached == 0
 
 
 def test_router_that_decides_locally_uses_its_share():
