--- a/packages/daisypick_core/src/daisypick_core/scheduling/scheduler.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/scheduler.py
@@ -241,7 +241,7 @@
         router: str,
         *,
         running: Set[str],
-        reading: Set[str],
+        prefilling: Set[str],
         now: float,
     ) -> list[actions.Action]:
         """Update which of a router's requests run or are still in prefill.
@@ -255,7 +255,7 @@
             if key not in running:
                 self._fleet.end(server, key, now)
                 self._server_by_key.pop(key, None)
-            elif key not in reading:
+            elif key not in prefilling:
                 self._fleet.note_first_token(server, key, now, learn=False)
         return self.dispatch(now)
 
--- a/packages/daisypick_core/tests/scheduling/test_scheduler.py
+++ b/packages/daisypick_core/tests/scheduling/test_scheduler.py
@@ -400,7 +400,7 @@
     scheduler.submit(other, 0.0)
     assert scheduler.submit(_job("b", prompt=9000, now=1.0), 1.0) == []
     decided = scheduler.reconcile(
-        "r-1", running={"a1", "a2"}, reading={"a2"}, now=1.01
+        "r-1", running={"a1", "a2"}, prefilling={"a2"}, now=1.01
     )
     assert _keys(decided) == ["b"]
     (engine,) = scheduler.describe(1.01)
--- a/packages/daisypick_router/src/daisypick_router/engine_servers.py
+++ b/packages/daisypick_router/src/daisypick_router/engine_servers.py
@@ -239,7 +239,7 @@
         for scheduler in self._scheduler_by_service.values():
             self._apply(
                 scheduler.reconcile(
-                    router, running=running, reading=reading, now=now
+                    router, running=running, prefilling=reading, now=now
                 )
             )
 
