--- a/packages/daisypick_core/src/daisypick_core/scheduling/cold_limits.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/cold_limits.py
@@ -4,13 +4,13 @@
 router has its own quota of the rate that a cold server can handle.
 
 See Also:
-    daisypick_core.serving.cold_parts: the quotas of the routers.
+    daisypick_core.serving.cold_quotas: the quotas of the routers.
 """
 
 from collections.abc import Iterable
 
 from daisypick_core.serving import cold_limit
-from daisypick_core.serving import cold_parts
+from daisypick_core.serving import cold_quotas
 
 
 class ColdLimits:
@@ -23,7 +23,7 @@
 
     def __init__(self, *, rate: float) -> None:
         self._rate = rate
-        self._quotas = cold_parts.ColdParts()
+        self._quotas = cold_quotas.ColdQuotas()
         self._limit_by_router: dict[str, cold_limit.ColdLimit] = {}
 
     def set_routers(self, routers: Iterable[str]) -> None:
@@ -43,7 +43,7 @@
     def _find_limit(self, router: str) -> cold_limit.ColdLimit:
         limit = self._limit_by_router.get(router)
         if limit is None:
-            limit = cold_limit.ColdLimit(router=router, parts=self._quotas)
+            limit = cold_limit.ColdLimit(router=router, quotas=self._quotas)
             self._limit_by_router[router] = limit
         return limit
 
--- a/packages/daisypick_core/src/daisypick_core/serving/__init__.py
+++ b/packages/daisypick_core/src/daisypick_core/serving/__init__.py
@@ -6,7 +6,7 @@
 * ``directory``: the backend servers that may receive requests.
 * ``restore_hold``: state kept while a restored store catches up.
 * ``sliding_window``: counts events in a sliding window.
-* ``cold_parts``: each router's quota of a cold server's rate.
+* ``cold_quotas``: each router's quota of a cold server's rate.
 * ``cold_limit``: rate limit of requests to cold backend servers.
 * ``retry_budget``: limit of retries per service.
 * ``outcomes``: ejects backend servers after repeated failures.
--- a/packages/daisypick_core/src/daisypick_core/serving/cold_limit.py
+++ b/packages/daisypick_core/src/daisypick_core/serving/cold_limit.py
@@ -1,6 +1,6 @@
 """Limits the rate at which one router sends to cold backend servers.
 
-``cold_parts`` computes the router's quota of the server's rate; this module
+``cold_quotas`` computes the router's quota of the server's rate; this module
 enforces it. Requests sent while the server was warm count too, because a
 server can turn cold at any moment.
 
@@ -8,17 +8,17 @@
 second may arrive in the next, together with the requests of that second.
 
 Examples:
-    >>> from daisypick_core.serving import cold_parts
-    >>> parts = cold_parts.ColdParts()
-    >>> parts.set_routers([f"r-{number}" for number in range(5)])
-    >>> limit = ColdLimit(router="r-0", parts=parts)
+    >>> from daisypick_core.serving import cold_quotas
+    >>> quotas = cold_quotas.ColdQuotas()
+    >>> quotas.set_routers([f"r-{number}" for number in range(5)])
+    >>> limit = ColdLimit(router="r-0", quotas=quotas)
     >>> [limit.take("i-1", rate=23.0, now=0.01 * n) for n in range(6)]
     [True, True, True, True, True, False]
     >>> limit.take("i-1", rate=23.0, now=1.2)
     True
 """
 
-from daisypick_core.serving import cold_parts
+from daisypick_core.serving import cold_quotas
 from daisypick_core.serving import sliding_window
 
 # One second plus the jitter of links between data centres.
@@ -28,14 +28,14 @@
 class ColdLimit:
     """Rate limit for the requests of one router, per server."""
 
-    def __init__(self, *, router: str, parts: cold_parts.ColdParts) -> None:
+    def __init__(self, *, router: str, quotas: cold_quotas.ColdQuotas) -> None:
         self._router = router
-        self._parts = parts
+        self._quotas = quotas
         self._window_by_server: dict[str, sliding_window.SlidingWindow] = {}
 
     def allows(self, server: str, rate: float, now: float) -> bool:
         """Return whether one more request may be sent now."""
-        quota = self._parts.find_quota(self._router, server, rate=rate)
+        quota = self._quotas.find_quota(self._router, server, rate=rate)
         window = self._window_by_server.get(server)
         return quota > (0 if window is None else window.count(now))
 
--- a/packages/daisypick_core/src/daisypick_core/serving/cold_parts.py
+++ b/packages/daisypick_core/src/daisypick_core/serving/cold_quotas.py
@@ -14,7 +14,7 @@
 stops all routers, all of them restart with an empty list.
 
 Examples:
-    >>> parts = ColdParts()
+    >>> parts = ColdQuotas()
     >>> parts.find_quota("r-1", "i-1", rate=23.0)
     0
     >>> parts.set_routers([f"r-{number}" for number in range(5)])
@@ -31,7 +31,7 @@
     return hashlib.blake2b(text, digest_size=8).digest()
 
 
-class ColdParts:
+class ColdQuotas:
     """Quotas of a cold server's rate, by router."""
 
     def __init__(self) -> None:
--- a/packages/daisypick_core/tests/serving/test_limits.py
+++ b/packages/daisypick_core/tests/serving/test_limits.py
@@ -5,15 +5,15 @@
 import pytest
 
 from daisypick_core.serving import cold_limit
-from daisypick_core.serving import cold_parts
+from daisypick_core.serving import cold_quotas
 from daisypick_core.serving import outcomes as outcome_records
 from daisypick_core.serving import retry_budget
 
 
 def _make_limit(name, known):
-    parts = cold_parts.ColdParts()
-    parts.set_routers(known)
-    return cold_limit.ColdLimit(router=name, parts=parts)
+    quotas = cold_quotas.ColdQuotas()
+    quotas.set_routers(known)
+    return cold_limit.ColdLimit(router=name, quotas=quotas)
 
 
 def _send_all(limits, *, rate, seconds):
@@ -132,9 +132,9 @@
 
 def test_cold_limit_expires_servers_without_recent_requests():
     """Guards against memory that grows with every server ever used."""
-    parts = cold_parts.ColdParts()
-    parts.set_routers(["r-1"])
-    limit = cold_limit.ColdLimit(router="r-1", parts=parts)
+    quotas = cold_quotas.ColdQuotas()
+    quotas.set_routers(["r-1"])
+    limit = cold_limit.ColdLimit(router="r-1", quotas=quotas)
     for number in range(100):
         limit.note(f"i-{number}", 0.01 * number)
     limit.expire(1.05)
--- a/packages/daisypick_router/src/daisypick_router/process.py
+++ b/packages/daisypick_router/src/daisypick_router/process.py
@@ -14,7 +14,7 @@
 from daisypick_core.results import failure
 from daisypick_core.scheduling import prefill_speed
 from daisypick_core.serving import cold_limit
-from daisypick_core.serving import cold_parts
+from daisypick_core.serving import cold_quotas
 from daisypick_core.serving import outcomes as outcome_records
 from daisypick_core.serving import retry_budget
 from daisypick_http import messages
@@ -71,7 +71,7 @@
         store = stores.StoreClient(address=settings.store_address, eras=eras)
         self.store = store
         self._pool = pools.Pool(connect_timeout=_CONNECT_SECONDS)
-        self._cold_quotas = cold_parts.ColdParts()
+        self._cold_quotas = cold_quotas.ColdQuotas()
         self._budget = retry_budget.RetryBudget(
             ratio=settings.bounds.retry_ratio,
             window_seconds=settings.bounds.retry_window_seconds,
@@ -149,7 +149,7 @@
                     discovery=self.discovery,
                     outcomes=outcomes,
                     cold=cold_limit.ColdLimit(
-                        router=settings.name, parts=self._cold_quotas
+                        router=settings.name, quotas=self._cold_quotas
                     ),
                     data_centre=settings.data_centre,
                     rng=rng,
