--- a/packages/daisypick_core/src/daisypick_core/scheduling/engine_candidates.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/engine_candidates.py
@@ -42,7 +42,7 @@
         self._wait_by_server: dict[str, float] = {}
         ejected = [
             server
-            for server in fleet.outcomes.find_aside(now)
+            for server in fleet.outcomes.find_ejected(now)
             if server in fleet
         ]
         slots = sum(fleet.state_by_server[server].slots for server in ejected)
@@ -63,7 +63,7 @@
     def _add(self, server: str) -> None:
         engine = self._fleet.find(server)
         self.engine_by_server[server] = engine
-        if self._fleet.outcomes.is_aside(server, self._now):
+        if self._fleet.outcomes.is_ejected(server, self._now):
             return
         wait = engine.prefill_wait(self._now)
         self._wait_by_server[server] = wait
--- a/packages/daisypick_core/src/daisypick_core/scheduling/fleet_report.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/fleet_report.py
@@ -46,5 +46,5 @@
         "base": round(engine.speed.predict(0.0), 4),
         "spread": round(engine.speed.relative_error, 3),
         "cold": fleet.state_by_server[name].cold_until > now,
-        "aside": fleet.outcomes.is_aside(name, now),
+        "aside": fleet.outcomes.is_ejected(name, now),
     }
--- a/packages/daisypick_core/src/daisypick_core/serving/outcomes.py
+++ b/packages/daisypick_core/src/daisypick_core/serving/outcomes.py
@@ -8,7 +8,7 @@
     >>> outcomes = Outcomes()
     >>> for _ in range(3):
     ...     outcomes.note_failure("i-1", now=0.0)
-    >>> outcomes.is_aside("i-1", now=0.1), outcomes.is_aside("i-1", now=0.6)
+    >>> outcomes.is_ejected("i-1", now=0.1), outcomes.is_ejected("i-1", now=0.6)
     (True, False)
 """
 
@@ -56,12 +56,12 @@
             )
             record.ejected_until = now + record.ejection_seconds
 
-    def is_aside(self, server: str, now: float) -> bool:
+    def is_ejected(self, server: str, now: float) -> bool:
         """Return whether a server is ejected now."""
         record = self._record_by_server.get(server)
         return record is not None and now < record.ejected_until
 
-    def find_aside(self, now: float) -> list[str]:
+    def find_ejected(self, now: float) -> list[str]:
         """Return the servers that are ejected now."""
         return [
             server
--- a/packages/daisypick_core/tests/serving/test_limits.py
+++ b/packages/daisypick_core/tests/serving/test_limits.py
@@ -113,12 +113,12 @@
 def test_ejection_time_doubles_after_failed_retry_and_success_resets_it():
     outcomes = outcome_records.Outcomes()
     outcomes.note_failure("i-1", now=0.0, certain=True)
-    assert outcomes.is_aside("i-1", now=0.49)
-    assert not outcomes.is_aside("i-1", now=0.51)
+    assert outcomes.is_ejected("i-1", now=0.49)
+    assert not outcomes.is_ejected("i-1", now=0.51)
     outcomes.note_failure("i-1", now=0.6, certain=True)
-    assert outcomes.is_aside("i-1", now=1.5)
+    assert outcomes.is_ejected("i-1", now=1.5)
     outcomes.note_success("i-1")
-    assert not outcomes.is_aside("i-1", now=1.5)
+    assert not outcomes.is_ejected("i-1", now=1.5)
 
 
 def test_fewer_than_three_consecutive_failures_eject_nothing():
@@ -127,7 +127,7 @@
         outcomes.note_failure("i-1", now=float(now))
         outcomes.note_failure("i-1", now=float(now))
         outcomes.note_success("i-1")
-        assert not outcomes.is_aside("i-1", now=float(now))
+        assert not outcomes.is_ejected("i-1", now=float(now))
 
 
 def test_cold_limit_expires_servers_without_recent_requests():
--- a/packages/daisypick_router/src/daisypick_router/plain_servers.py
+++ b/packages/daisypick_router/src/daisypick_router/plain_servers.py
@@ -110,7 +110,7 @@
         healthy = [
             server
             for server in ready
-            if not self._outcomes.is_aside(server.name, now)
+            if not self._outcomes.is_ejected(server.name, now)
         ]
         return [
             server
--- a/packages/daisypick_router/tests/test_fleet_size.py
+++ b/packages/daisypick_router/tests/test_fleet_size.py
@@ -58,14 +58,14 @@
     directory = router.discovery.directory
     fakes.wait_for(lambda: len(directory.find_ready("desk")) == _SERVERS)
     checks = 0
-    is_aside = outcomes.Outcomes.is_aside
+    is_ejected = outcomes.Outcomes.is_ejected
 
     def _count(known, server, now):
         nonlocal checks
         checks += 1
-        return is_aside(known, server, now)
+        return is_ejected(known, server, now)
 
-    monkeypatch.setattr(outcomes.Outcomes, "is_aside", _count)
+    monkeypatch.setattr(outcomes.Outcomes, "is_ejected", _count)
     fakes.call(router, "/look/1")
     assert 0 < checks <= 3 * 32
 
