--- a/packages/daisypick_core/src/daisypick_core/serving/directory.py
+++ b/packages/daisypick_core/src/daisypick_core/serving/directory.py
@@ -63,7 +63,9 @@
         self._ready_by_service: dict[str, _Ready] = {}
         self._unavailable_by_service: dict[str, list[str]] = {}
 
-    def set_out(self, data_centres: Iterable[str], now: float) -> None:
+    def set_data_centres_out(
+        self, data_centres: Iterable[str], now: float
+    ) -> None:
         """Set the data centres that are out of service."""
         self._ready_by_service.clear()
         self._unavailable_by_service.clear()
@@ -181,7 +183,7 @@
         if ready is None:
             ready = _Ready(servers=[], by_data_centre={})
             for server in self._find_servers(service):
-                if self.may_get_work(server):
+                if self.is_available(server):
                     ready.servers.append(server)
                     local = ready.by_data_centre.setdefault(
                         server.data_centre, []
@@ -190,14 +192,14 @@
             self._ready_by_service[service] = ready
         return ready
 
-    def find_closed(self, service: str) -> list[str]:
+    def find_unavailable(self, service: str) -> list[str]:
         """Return the names of the servers that must not get new requests."""
         names = self._unavailable_by_service.get(service)
         if names is None:
             names = [
                 server.name
                 for server in self._find_servers(service)
-                if not self.may_get_work(server)
+                if not self.is_available(server)
             ]
             self._unavailable_by_service[service] = names
         return names
@@ -206,7 +208,7 @@
         names = sorted(self._names_by_service.get(service, ()))
         return [self.server_by_name[name] for name in names]
 
-    def may_get_work(self, server: backend_server.BackendServer) -> bool:
+    def is_available(self, server: backend_server.BackendServer) -> bool:
         """Return whether a server and its data centre are in service."""
         return (
             not server.draining
--- a/packages/daisypick_core/tests/serving/test_directory.py
+++ b/packages/daisypick_core/tests/serving/test_directory.py
@@ -66,9 +66,9 @@
         ],
         now=0.0,
     )
-    directory.set_out({"b"}, now=1.0)
+    directory.set_data_centres_out({"b"}, now=1.0)
     assert _names(directory) == ["i-3"]
-    assert directory.find_closed("s") == ["i-1", "i-2"]
+    assert directory.find_unavailable("s") == ["i-1", "i-2"]
 
 
 def test_servers_of_a_reenabled_data_centre_are_treated_as_cold():
@@ -81,8 +81,8 @@
     directory = directories.Directory()
     reenabled, other = _server("i-1", data_centre="b"), _server("i-2")
     directory.replace_all([reenabled, other], now=0.0)
-    directory.set_out({"b"}, now=1.0)
-    directory.set_out((), now=6.0)
+    directory.set_data_centres_out({"b"}, now=1.0)
+    directory.set_data_centres_out((), now=6.0)
     assert directory.find_cold_until(reenabled, 3.0) == 9.0
     assert directory.find_cold_until(other, 3.0) == 0.0
     updated = reenabled._replace(cold_until=11.0)
--- a/packages/daisypick_router/src/daisypick_router/discovery.py
+++ b/packages/daisypick_router/src/daisypick_router/discovery.py
@@ -230,7 +230,9 @@
     ) -> None:
         out = {stored.name for stored in objects if not stored.deleted}
         now = time.monotonic()
-        self.directory.set_out(self._hold.filter_out(out, now), now)
+        self.directory.set_data_centres_out(
+            self._hold.filter_out(out, now), now
+        )
         self._on_servers(None)
 
     def _apply_evacuation_changes(
@@ -247,7 +249,7 @@
             out.discard(stored.name)
         else:
             out.add(stored.name)
-        self.directory.set_out(out, time.monotonic())
+        self.directory.set_data_centres_out(out, time.monotonic())
         self._log.write(
             "servers",
             "A data centre was taken out of or put back into service.",
@@ -288,7 +290,7 @@
         servers, out = self._hold.end()
         for server in servers:
             self.directory.put(server)
-        self.directory.set_out(out, time.monotonic())
+        self.directory.set_data_centres_out(out, time.monotonic())
         self._log.write(
             "store",
             "The hold period after the store's restore ended.",
--- a/packages/daisypick_router/src/daisypick_router/engine_servers.py
+++ b/packages/daisypick_router/src/daisypick_router/engine_servers.py
@@ -109,7 +109,7 @@
             if (
                 server is not None
                 and server.service == service.name
-                and directory.may_get_work(server)
+                and directory.is_available(server)
             ):
                 scheduler.put_server(self._describe_server(service, server))
             else:
--- a/packages/daisypick_router/src/daisypick_router/engine_way.py
+++ b/packages/daisypick_router/src/daisypick_router/engine_way.py
@@ -124,7 +124,7 @@
             directory = self._discovery.directory
             server = directory.server_by_name.get(action.server)
             context.tried_servers.add(action.server)
-            if server is None or not directory.may_get_work(server):
+            if server is None or not directory.is_available(server):
                 self._placing.note_end(context.service, work.key)
                 continue
             source = directory.server_by_name.get(action.source)
@@ -160,7 +160,7 @@
         )
         # Only this router may know of these servers: the scheduler host may be
         # cut off from the platform's list.
-        unavailable = self._discovery.directory.find_closed(
+        unavailable = self._discovery.directory.find_unavailable(
             context.service.name
         )
         return job.Job(
--- a/packages/daisypick_router/tests/test_fleet_size.py
+++ b/packages/daisypick_router/tests/test_fleet_size.py
@@ -30,14 +30,14 @@
     directory = router.discovery.directory
     fakes.wait_for(lambda: len(directory.find_ready("assist")) == _SERVERS)
     checks = 0
-    may_get_work = directories.Directory.may_get_work
+    is_available = directories.Directory.is_available
 
     def _count(known, server):
         nonlocal checks
         checks += 1
-        return may_get_work(known, server)
+        return is_available(known, server)
 
-    monkeypatch.setattr(directories.Directory, "may_get_work", _count)
+    monkeypatch.setattr(directories.Directory, "is_available", _count)
     store.put("servers", "e-7", engine.describe(Slots=5))
     fakes.wait_for(lambda: directory.server_by_name["e-7"].slots == 5)
     fakes.wait_for(lambda: checks > 0)
