--- a/packages/daisypick_core/src/daisypick_core/serving/restore_hold.py
+++ b/packages/daisypick_core/src/daisypick_core/serving/restore_hold.py
@@ -17,7 +17,7 @@
     >>> hold.begin([ready._replace(draining=True)], out={"varna"}, now=10.0)
     >>> [server.draining for server in hold.filter_servers([ready], now=11.0)]
     [True]
-    >>> sorted(hold.filter_out({"ruse"}, now=11.0))
+    >>> sorted(hold.filter_data_centres({"ruse"}, now=11.0))
     ['ruse', 'varna']
     >>> hold.is_over(now=12.0), hold.is_over(now=17.0)
     (False, True)
@@ -50,15 +50,15 @@
         self.is_on = False
         self._until = 0.0
         # Lists that were not read since the restore.
-        self._unread: set[str] = set()
+        self._unread_lists: set[str] = set()
         self._removed_at_by_instance: dict[tuple[str, int], float] = {}
         self._draining_instances: set[tuple[str, int]] = set()
         self._removed_instances: set[tuple[str, int]] = set()
         self._held_data_centres: set[str] = set()
         self._withheld_by_name: dict[str, backend_server.BackendServer] = {}
-        self._listed_out: set[str] = set()
+        self._listed_data_centres: set[str] = set()
 
-    def note_left(
+    def note_removed(
         self, server: backend_server.BackendServer, now: float
     ) -> None:
         """Record that a server's entry was removed."""
@@ -79,7 +79,7 @@
         """Hold the current state; an active hold is extended."""
         self.is_on = True
         self._until = now + HOLD_SECONDS
-        self._unread = {_SERVER_LIST, _DATA_CENTRE_LIST}
+        self._unread_lists = {_SERVER_LIST, _DATA_CENTRE_LIST}
         self._draining_instances.update(
             _make_instance_key(server) for server in servers if server.draining
         )
@@ -91,8 +91,8 @@
         self._held_data_centres.update(out)
 
     def _note_read(self, kind: str, now: float) -> None:
-        if kind in self._unread:
-            self._unread.discard(kind)
+        if kind in self._unread_lists:
+            self._unread_lists.discard(kind)
             self._until = now + HOLD_SECONDS
 
     def filter_servers(
@@ -118,27 +118,27 @@
                 kept.append(server)
         return kept
 
-    def filter_out(self, out: Iterable[str], now: float) -> set[str]:
+    def filter_data_centres(self, out: Iterable[str], now: float) -> set[str]:
         """Return the data centres out of service by the list or the hold."""
         self._note_read(_DATA_CENTRE_LIST, now)
-        self._listed_out = set(out)
-        return self._listed_out | self._held_data_centres
+        self._listed_data_centres = set(out)
+        return self._listed_data_centres | self._held_data_centres
 
     def release_server(self, name: str) -> None:
         """Stop holding a server whose entry was written after the restore."""
         self._withheld_by_name.pop(name, None)
 
-    def note_out(self, data_centre: str, *, out: bool) -> None:
+    def note_data_centre(self, data_centre: str, *, out: bool) -> None:
         """Record a change of a data centre's state since the list."""
         if out:
-            self._listed_out.add(data_centre)
+            self._listed_data_centres.add(data_centre)
         else:
-            self._listed_out.discard(data_centre)
+            self._listed_data_centres.discard(data_centre)
             self._held_data_centres.discard(data_centre)
 
     def is_over(self, now: float) -> bool:
         """Return whether an active hold has expired."""
-        return self.is_on and not self._unread and now >= self._until
+        return self.is_on and not self._unread_lists and now >= self._until
 
     def end(
         self,
@@ -155,7 +155,7 @@
         self._removed_instances.clear()
         self._held_data_centres.clear()
         self._withheld_by_name.clear()
-        return withheld, set(self._listed_out)
+        return withheld, set(self._listed_data_centres)
 
 
 def _make_instance_key(server: backend_server.BackendServer) -> tuple[str, int]:
--- a/packages/daisypick_router/src/daisypick_router/discovery.py
+++ b/packages/daisypick_router/src/daisypick_router/discovery.py
@@ -208,7 +208,7 @@
     def _record_removal(self, name: str, now: float) -> None:
         removed = self.directory.server_by_name.get(name)
         if removed is not None:
-            self._hold.note_left(removed, now)
+            self._hold.note_removed(removed, now)
 
     def _log_change(
         self, name: str, server: backend_server.BackendServer | None, now: float
@@ -231,7 +231,7 @@
         out = {stored.name for stored in objects if not stored.deleted}
         now = time.monotonic()
         self.directory.set_data_centres_out(
-            self._hold.filter_out(out, now), now
+            self._hold.filter_data_centres(out, now), now
         )
         self._on_servers(None)
 
@@ -243,7 +243,7 @@
         self._on_servers(None)
 
     def _apply_evacuation(self, stored: stores.StoredObject) -> None:
-        self._hold.note_out(stored.name, out=not stored.deleted)
+        self._hold.note_data_centre(stored.name, out=not stored.deleted)
         out = set(self.directory.data_centres_out)
         if stored.deleted:
             out.discard(stored.name)
--- a/packages/daisypick_router/tests/test_restored_store.py
+++ b/packages/daisypick_router/tests/test_restored_store.py
@@ -42,7 +42,7 @@
 def _wait_for_lists(router):
     """Wait until the router has read the lists of the restored store."""
     fakes.wait_for(lambda: router.store.eras.newest == 2)
-    fakes.wait_for(lambda: not router.discovery._hold._unread)
+    fakes.wait_for(lambda: not router.discovery._hold._unread_lists)
 
 
 def _wait_for_version(router, version):
@@ -137,7 +137,7 @@
     _wait_for_lists(router)
     assert not _is_ready(router, "d-1")
     store.put("evacuations", "a", {})
-    fakes.wait_for(lambda: "a" in router.discovery._hold._listed_out)
+    fakes.wait_for(lambda: "a" in router.discovery._hold._listed_data_centres)
     _expire_hold(router)
     fakes.wait_for(lambda: not router.discovery._hold.is_on)
     assert not _is_ready(router, "d-1")
