--- a/packages/daisypick_core/src/daisypick_core/serving/overload.py
+++ b/packages/daisypick_core/src/daisypick_core/serving/overload.py
@@ -13,9 +13,9 @@
     >>> overload = Overload()
     >>> for step in range(10):
     ...     overload.note_lag(0.3, now=0.35 * step)
-    >>> overload.is_ready, overload.ends_connections(now=2.8)
+    >>> overload.is_ready, overload.closes_connections(now=2.8)
     (False, False)
-    >>> overload.ends_connections(now=5.0)
+    >>> overload.closes_connections(now=5.0)
     True
     >>> for step in range(40):
     ...     overload.note_lag(0.0, now=5.0 + 0.05 * step)
@@ -72,7 +72,7 @@
         ):
             self._overloaded_since = None
 
-    def ends_connections(self, now: float) -> bool:
+    def closes_connections(self, now: float) -> bool:
         """Return whether connections should close after their response."""
         return (
             self._overloaded_since is not None
--- a/packages/daisypick_core/tests/serving/test_overload.py
+++ b/packages/daisypick_core/tests/serving/test_overload.py
@@ -29,10 +29,10 @@
     overload = overloads.Overload()
     began = _feed(overload, 0.3, begin=0.0, count=3)
     assert not overload.is_ready
-    assert not overload.ends_connections(began + 1.0)
+    assert not overload.closes_connections(began + 1.0)
     later = _feed(overload, 0.3, begin=began, count=8)
     assert later - began > 2.5
-    assert overload.ends_connections(later)
+    assert overload.closes_connections(later)
 
 
 def test_process_is_ready_again_only_after_the_minimum_time():
@@ -41,6 +41,6 @@
     recovered = _feed(overload, 0.0, begin=began, count=60)
     assert recovered - began < 4.0
     assert not overload.is_ready
-    assert not overload.ends_connections(recovered)
+    assert not overload.closes_connections(recovered)
     _feed(overload, 0.0, begin=recovered, count=40)
     assert overload.is_ready
--- a/packages/daisypick_router/src/daisypick_router/serving.py
+++ b/packages/daisypick_router/src/daisypick_router/serving.py
@@ -128,7 +128,7 @@
         """Return whether callers should reconnect to another router."""
         return (
             self.stopping_since is not None
-            or self._overload.ends_connections(time.monotonic())
+            or self._overload.closes_connections(time.monotonic())
         )
 
     def _handle(
