--- a/packages/daisypick_core/src/daisypick_core/gate/waiting.py
+++ b/packages/daisypick_core/src/daisypick_core/gate/waiting.py
@@ -87,7 +87,7 @@
         organisation = self._order.pick(self._queues.keys(), now)
         attempt = self._queues.pop_first(organisation)
         self._depart_if_empty(organisation)
-        self._drain_rate.left(now)
+        self._drain_rate.record_departure(now)
         return attempt
 
     def expire(self, now: float) -> list[attempt_message.Attempt]:
--- a/packages/daisypick_core/src/daisypick_core/queues/drain_rate.py
+++ b/packages/daisypick_core/src/daisypick_core/queues/drain_rate.py
@@ -8,7 +8,7 @@
     >>> rate.retry_after(10)
     1.0
     >>> for second in range(200):
-    ...     rate.left(second * 0.5)
+    ...     rate.record_departure(second * 0.5)
     >>> round(rate.retry_after(10), 1), rate.retry_after(1_000_000)
     (5.0, 30.0)
 """
@@ -26,7 +26,7 @@
         self._last_departure: float | None = None
         self._mean_interval: float | None = None
 
-    def left(self, now: float) -> None:
+    def record_departure(self, now: float) -> None:
         """Record that an item left the queue and was served."""
         if self._last_departure is not None:
             sample = now - self._last_departure
--- a/packages/daisypick_core/src/daisypick_core/routing/backlog.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/backlog.py
@@ -45,7 +45,7 @@
         if rate is None:
             rate = drain_rate.DrainRate()
             self._rate_by_organisation[organisation] = rate
-        rate.left(now)
+        rate.record_departure(now)
 
     def check(
         self,
