--- a/packages/daisypick_core/src/daisypick_core/membership/directory.py
+++ b/packages/daisypick_core/src/daisypick_core/membership/directory.py
@@ -12,10 +12,10 @@
     >>> own = Member("10.0.0.1:80", AGENT, "sofia")
     >>> directory = Directory(own=own)
     >>> directory.set_listed([Member("10.0.0.2:80", AGENT, "sofia")])
-    >>> directory.hear(Member("10.0.0.3:80", ROUTER, "sofia"), 1.0)
+    >>> directory.record_member(Member("10.0.0.3:80", ROUTER, "sofia"), 1.0)
     >>> directory.live(AGENT, "sofia", 2.0)
     ['10.0.0.1:80', '10.0.0.2:80']
-    >>> directory.fail("10.0.0.2:80", 2.0)
+    >>> directory.record_failure("10.0.0.2:80", 2.0)
     >>> directory.live(AGENT, "sofia", 3.0)
     ['10.0.0.1:80']
     >>> directory.age("10.0.0.3:80", 2.5)
@@ -51,7 +51,7 @@
     service: str = ""
 
 
-class Sighting(typing.NamedTuple):
+class GossipEntry(typing.NamedTuple):
     """A member and the seconds since its last contact."""
 
     member: Member
@@ -77,7 +77,9 @@
         """Set the hosts that the platform's list shows as leaving."""
         self._leaving_hosts = frozenset(hosts)
 
-    def hear(self, member: Member, now: float, *, age: float = 0.0) -> None:
+    def record_member(
+        self, member: Member, now: float, *, age: float = 0.0
+    ) -> None:
         """Record a member whose last contact was ``age`` seconds ago.
 
         The contact was with this process or with a peer.
@@ -85,15 +87,15 @@
         if member.address == self._own.address or age >= CONTACT_EXPIRY_SECONDS:
             return
         self._contacted_by_address[member.address] = member
-        self.contact(member.address, now - age)
+        self.record_contact(member.address, now - age)
 
-    def contact(self, address: str, now: float) -> None:
+    def record_contact(self, address: str, now: float) -> None:
         """Record a contact with an address."""
         latest = self._last_contact_at.get(address)
         if latest is None or now > latest:
             self._last_contact_at[address] = now
 
-    def fail(self, address: str, now: float) -> None:
+    def record_failure(self, address: str, now: float) -> None:
         """Record that an address did not respond."""
         self._failed_at[address] = now
 
@@ -140,7 +142,7 @@
 
     def sample(
         self, rng: random.Random, count: int, now: float
-    ) -> list[Sighting]:
+    ) -> list[GossipEntry]:
         """Return random members with the ages of their last contacts.
 
         They are sent to a peer. Members known only from the configuration are
@@ -153,7 +155,7 @@
         ]
         chosen = rng.sample(fresh, min(count, len(fresh)))
         return [
-            Sighting(
+            GossipEntry(
                 member=self._contacted_by_address[address],
                 age=now - self._last_contact_at[address],
             )
--- a/packages/daisypick_core/tests/membership/test_directory.py
+++ b/packages/daisypick_core/tests/membership/test_directory.py
@@ -17,18 +17,18 @@
     # A peer does not respond during a partition and must not be chosen until
     # the next contact, or until the failure expires.
     subject = make_directory()
-    subject.fail(LISTED.address, 10.0)
+    subject.record_failure(LISTED.address, 10.0)
     assert subject.members(11.0) == []
-    subject.contact(LISTED.address, 12.0)
+    subject.record_contact(LISTED.address, 12.0)
     assert subject.members(12.0) == [LISTED]
-    subject.fail(LISTED.address, 13.0)
+    subject.record_failure(LISTED.address, 13.0)
     assert subject.members(42.9) == []
     assert subject.members(43.0) == [LISTED]
 
 
 def test_member_known_by_contact_expires_without_further_contact():
     subject = make_directory()
-    subject.hear(ROUTER, 0.0)
+    subject.record_member(ROUTER, 0.0)
     assert subject.live(directory.ROUTER, "varna", 89.0) == [ROUTER.address]
     assert subject.live(directory.ROUTER, "varna", 90.0) == []
     subject.forget_old(91.0)
@@ -40,12 +40,14 @@
     # Peers exchange members with their ages. If each exchange reset the age, a
     # dead member would stay live in gossip for ever.
     first, second = make_directory(), directory.Directory(own=LISTED)
-    first.hear(ROUTER, 0.0)
+    first.record_member(ROUTER, 0.0)
     rng = random.Random(1)
     for now in range(1, 120):
         for sender, receiver in ((first, second), (second, first)):
-            for sighting in sender.sample(rng, 4, now):
-                receiver.hear(sighting.member, now, age=sighting.age)
+            for gossip_entry in sender.sample(rng, 4, now):
+                receiver.record_member(
+                    gossip_entry.member, now, age=gossip_entry.age
+                )
     assert ROUTER not in first.members(120.0) + second.members(120.0)
 
 
@@ -62,8 +64,8 @@
     both = [OWN.address, LISTED.address]
     assert subject.live_agents("desk", "sofia", 0.0) == both
     # Members from peers do not carry a service.
-    subject.hear(LISTED._replace(service=""), 1.0)
+    subject.record_member(LISTED._replace(service=""), 1.0)
     assert subject.live_agents("desk", "sofia", 1.0) == both
-    subject.fail(LISTED.address, 2.0)
+    subject.record_failure(LISTED.address, 2.0)
     assert subject.live_agents("desk", "sofia", 2.0) == [OWN.address]
     assert subject.live_agents("chat", "varna", 2.0) == []
--- a/packages/daisypick_node/src/daisypick_node/configuration_routes.py
+++ b/packages/daisypick_node/src/daisypick_node/configuration_routes.py
@@ -42,7 +42,7 @@
 
     member: member_directory.Member
     generation: int
-    members: list[member_directory.Sighting]
+    members: list[member_directory.GossipEntry]
 
 
 class ConfigurationRoutes:
--- a/packages/daisypick_node/src/daisypick_node/configuration_service.py
+++ b/packages/daisypick_node/src/daisypick_node/configuration_service.py
@@ -105,7 +105,7 @@
     def note_contact(self, peer: str, generation: int) -> None:
         """Learn from a request or an answer that a peer has a generation."""
         now = self._clock()
-        self.directory.contact(peer, now)
+        self.directory.record_contact(peer, now)
         self._carry_out(self.holder.hear(peer, generation, now))
 
     def handlers(self) -> routes.Routes:
@@ -242,9 +242,9 @@
         if source in (actions.STORE, actions.OPERATOR):
             return
         if failure_value.is_failure(outcome):
-            self.directory.fail(source, self._clock())
+            self.directory.record_failure(source, self._clock())
         else:
-            self.directory.contact(source, self._clock())
+            self.directory.record_contact(source, self._clock())
 
     def _make_notice(self) -> configuration_routes.Notice:
         return configuration_routes.Notice(
@@ -257,9 +257,11 @@
 
     def _hear(self, notice: configuration_routes.Notice) -> None:
         now = self._clock()
-        self.directory.hear(notice["member"], now)
-        for sighting in notice["members"]:
-            self.directory.hear(sighting.member, now, age=sighting.age)
+        self.directory.record_member(notice["member"], now)
+        for gossip_entry in notice["members"]:
+            self.directory.record_member(
+                gossip_entry.member, now, age=gossip_entry.age
+            )
         peer = notice["member"].address
         self._carry_out(self.holder.hear(peer, notice["generation"], now))
 
--- a/packages/daisypick_node/tests/agent/test_tally_service.py
+++ b/packages/daisypick_node/tests/agent/test_tally_service.py
@@ -15,7 +15,7 @@
             member = member_directory.Member(
                 one.address, member_directory.AGENT, f"dc{number}"
             )
-            agent.follower.directory.hear(member, agent.clock())
+            agent.follower.directory.record_member(member, agent.clock())
     yield subject
     subject.stop()
 
--- a/packages/daisypick_node/tests/test_shutdown.py
+++ b/packages/daisypick_node/tests/test_shutdown.py
@@ -91,7 +91,7 @@
     agent, router = fleet.agents[0], fleet.routers[0]
     address = fleet.wires[0].address
     member = member_directory.Member(address, member_directory.AGENT, "dc0")
-    router.follower.directory.hear(member, router.clock())
+    router.follower.directory.record_member(member, router.clock())
     for state in ("leaving", "live"):
         fleet.platform.vms.set(vms.Vm(address, "dc0", state), 0.0)
         router.vm_watch.look()
