--- a/packages/daisypick_core/src/daisypick_core/messages/frame.py
+++ b/packages/daisypick_core/src/daisypick_core/messages/frame.py
@@ -2,7 +2,7 @@
 
 A response is a sequence of frames, one JSON array per line. It is complete
 only if it ends with an ``END`` or a ``REFUSED`` frame; a stream that ends
-earlier is resumed from the last offset. The agent sends ``BEAT`` frames as
+earlier is resumed from the last offset. The agent sends ``HEARTBEAT`` frames as
 heartbeats while it has no other frame to send.
 
 Examples:
@@ -23,7 +23,7 @@
 STARTED = "started"
 HEAD = "head"
 DATA = "data"
-BEAT = "beat"
+HEARTBEAT = "beat"
 END = "end"
 REFUSED = "refused"
 
@@ -41,8 +41,8 @@
         reason: Human-readable reason (``REFUSED``).
         retry_after: Retry delay in seconds (``REFUSED``).
         size: Size of the complete response in bytes (``END``).
-        idle_agent: Agent that could start the attempt now (``BEAT``).
-        idle_load: Load that this agent reported (``BEAT``).
+        idle_agent: Agent that could start the attempt now (``HEARTBEAT``).
+        idle_load: Load that this agent reported (``HEARTBEAT``).
     """
 
     load: load_message.Load
--- a/packages/daisypick_node/src/daisypick_node/agent/answers.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/answers.py
@@ -200,7 +200,7 @@
     """One reader's way through an answer, from an offset to its end.
 
     ``describe`` gives the agent's load, which rides on the first, the
-    ``STARTED`` and the last frame. A ``BEAT`` goes out after each
+    ``STARTED`` and the last frame. A ``HEARTBEAT`` goes out after each
     ``beat_seconds`` of silence, so that a router can tell a slow answer from
     a dead connection.
     """
@@ -233,7 +233,7 @@
             if self._is_behind():
                 continue
             if not self._answer.wait(self._beat_seconds):
-                ready = [frame.Frame(kind=frame.BEAT)]
+                ready = [frame.Frame(kind=frame.HEARTBEAT)]
 
     def _is_behind(self) -> bool:
         """Tell whether more came while the last frames were sent."""
@@ -271,7 +271,7 @@
 
 def _hint_frame(hint: Hint) -> frame.Frame:
     detail = frame.Detail(idle_agent=hint.agent, idle_load=hint.load)
-    return frame.Frame(kind=frame.BEAT, detail=detail)
+    return frame.Frame(kind=frame.HEARTBEAT, detail=detail)
 
 
 def _last_frame(answer: Answer, detail: frame.Detail) -> frame.Frame:
--- a/packages/daisypick_node/src/daisypick_node/router/sender.py
+++ b/packages/daisypick_node/src/daisypick_node/router/sender.py
@@ -263,7 +263,7 @@
     return False
 
 
-@_handles(frame.BEAT)
+@_handles(frame.HEARTBEAT)
 def _handle_beat(sender: Sender, part: frame.Frame) -> bool:
     if part.detail is not None and "idle_agent" in part.detail:
         sender.events.hinted(
