--- a/packages/daisypick_http/src/daisypick_http/messages.py
+++ b/packages/daisypick_http/src/daisypick_http/messages.py
@@ -68,7 +68,7 @@
     began_at: float
 
 
-class AnswerHead(typing.NamedTuple):
+class ResponseHead(typing.NamedTuple):
     """Status code and headers of a response."""
 
     status: int
--- a/packages/daisypick_http/src/daisypick_http/response_reader.py
+++ b/packages/daisypick_http/src/daisypick_http/response_reader.py
@@ -19,7 +19,7 @@
     __slots__ = ("body", "complete", "head", "keep_alive", "until_close")
 
     def __init__(self) -> None:
-        self.head: messages.AnswerHead | None = None
+        self.head: messages.ResponseHead | None = None
         self.body: list[bytes] = []
         self.complete = False
         self.until_close = False
@@ -43,7 +43,7 @@
         self.broken: str | None = None
 
     @property
-    def head(self) -> messages.AnswerHead | None:
+    def head(self) -> messages.ResponseHead | None:
         """Status and headers; interim responses (1xx) are skipped."""
         return self._responses[0].head
 
@@ -87,7 +87,7 @@
         if not self.complete:
             self.broken = self.broken or "connection ended within the answer"
 
-    def pass_over(self) -> None:
+    def skip_response(self) -> None:
         """Drop the first response and continue with the next one."""
         self._responses.popleft()
         if not self._responses:
@@ -121,7 +121,7 @@
             return
         headers = tuple(self._headers)
         response = self._responses[-1]
-        response.head = messages.AnswerHead(status=status, headers=headers)
+        response.head = messages.ResponseHead(status=status, headers=headers)
         response.keep_alive = self._parser.should_keep_alive()
         if self._method == b"HEAD" or status in (204, 304):
             response.complete = True
--- a/packages/daisypick_http/src/daisypick_http/server.py
+++ b/packages/daisypick_http/src/daisypick_http/server.py
@@ -65,8 +65,8 @@
         idle_since: Monotonic time at which the connection last became idle.
         closing: Whether our side is closed.
         exchanges: Number of requests started on the connection.
-        answer_begun: Whether the head of the current response was sent.
-        answer_ended: Whether the current response was sent completely.
+        response_started: Whether the head of the current response was sent.
+        response_completed: Whether the current response was sent completely.
     """
 
     def __init__(
@@ -101,8 +101,8 @@
         self._aborted = False
         self._keep_alive = True
         self.exchanges = 0
-        self.answer_begun = False
-        self.answer_ended = False
+        self.response_started = False
+        self.response_completed = False
 
     @property
     def is_idle(self) -> bool:
@@ -220,8 +220,8 @@
     def _start(self, request: messages.Request) -> None:
         self._keep_alive = request.keep_alive
         self.exchanges += 1
-        self.answer_begun = False
-        self.answer_ended = False
+        self.response_started = False
+        self.response_completed = False
         self._pending_request = request
         self._on_idle(self, False)
         self._handler = gevent.Greenlet(self._run_handler, request)
@@ -347,13 +347,13 @@
     def _send_head(
         self, status: int, headers: list[tuple[bytes, bytes]], body: bytes
     ) -> None:
-        self.answer_begun = True
+        self.response_started = True
         if not self._keep_alive:
             headers.append((b"Connection", b"close"))
         self.write(messages.write_head(status=status, headers=headers) + body)
 
     def _finish(self) -> None:
-        self.answer_ended = True
+        self.response_completed = True
         if not self._keep_alive:
             self.close_gracefully()
 
--- a/packages/daisypick_http/tests/test_response_reader.py
+++ b/packages/daisypick_http/tests/test_response_reader.py
@@ -43,7 +43,7 @@
     reader = _read(one + b"1" + one + b"2")
     assert reader.take_body() == b"1"
     assert reader.surplus
-    reader.pass_over()
+    reader.skip_response()
     assert reader.complete
     assert reader.take_body() == b"2"
     assert not reader.surplus
--- a/packages/daisypick_router/src/daisypick_router/engine_way.py
+++ b/packages/daisypick_router/src/daisypick_router/engine_way.py
@@ -262,7 +262,7 @@
         response = plain_way.read_whole(self._pool, opened, context.deadline)
         if isinstance(response, relay.Broken):
             return response
-        if connection.answer_begun:
+        if connection.response_started:
             return relay.Broken(
                 reason=f"server answered {response.head.status} to go on"
             )
@@ -293,7 +293,7 @@
                     first = False
                     event_timeout = _EVENT_TIMEOUT_SECONDS
                     self._note_first(context, work)
-                if not connection.answer_begun:
+                if not connection.response_started:
                     connection.begin_stream(
                         status=opened.head.status,
                         headers=messages.drop_per_connection(
@@ -307,7 +307,7 @@
         if isinstance(ended, relay.Broken):
             return ended
         self._pool.give_back(opened.connection)
-        if not connection.answer_begun:
+        if not connection.response_started:
             connection.begin_stream(
                 status=opened.head.status,
                 headers=messages.drop_per_connection(opened.head.headers),
--- a/packages/daisypick_router/src/daisypick_router/exchange.py
+++ b/packages/daisypick_router/src/daisypick_router/exchange.py
@@ -49,7 +49,7 @@
     """The head of the server's response was read; its body was not."""
 
     connection: connections.Connection
-    head: messages.AnswerHead
+    head: messages.ResponseHead
 
 
 Outcome = NotRun | Unknown | OpenExchange
@@ -168,7 +168,7 @@
             and server_headers.attempt != context.attempt
         ):
             _read_to_end(connection, context.deadline)
-            connection.reader.pass_over()
+            connection.reader.skip_response()
             continue
         return _classify_response(connection, server_headers, context.deadline)
 
--- a/packages/daisypick_router/src/daisypick_router/relay.py
+++ b/packages/daisypick_router/src/daisypick_router/relay.py
@@ -12,7 +12,7 @@
 class WholeResponse(typing.NamedTuple):
     """A complete response."""
 
-    head: messages.AnswerHead
+    head: messages.ResponseHead
     body: bytes
 
 
--- a/packages/daisypick_router/src/daisypick_router/serving.py
+++ b/packages/daisypick_router/src/daisypick_router/serving.py
@@ -84,7 +84,7 @@
             raise
         finally:
             context = self._context_by_connection.pop(connection)
-            if not connection.answer_ended:
+            if not connection.response_completed:
                 self._log_unanswered(
                     connection.exchanges, request, context, reason
                 )
@@ -222,13 +222,13 @@
             status=refusal.code.status,
             reason=refusal.reason,
             retry_after=refusal.retry_after,
-            cut=connection.answer_begun,
+            cut=connection.response_started,
             route=context.route.name if context else None,
             version=context.version if context else None,
             servers=sorted(context.tried_servers) if context else [],
             seconds=round(time.monotonic() - request.began_at, 4),
         )
-        if connection.answer_begun:
+        if connection.response_started:
             connection.abort()
             return
         connection.send_whole(
