--- a/packages/daisypick_http/src/daisypick_http/server.py
+++ b/packages/daisypick_http/src/daisypick_http/server.py
@@ -23,7 +23,7 @@
 _LINGER_SECONDS = 1.0
 
 
-class CallerLeft(gevent.GreenletExit):
+class CallerDisconnected(gevent.GreenletExit):
     """The caller closed its connection and cannot receive the response."""
 
 
@@ -125,7 +125,9 @@
         finally:
             self._has_finished = True
             if self._handler is not None:
-                self._handler.kill(CallerLeft(self._end_reason), block=False)
+                self._handler.kill(
+                    CallerDisconnected(self._end_reason), block=False
+                )
             self._socket.close()
             self._report_unhandled()
 
@@ -257,7 +259,7 @@
         if self.is_idle and not self._has_unread():
             self.close_gracefully()
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Return whether the caller has closed the connection.
 
         A busy process reads with a delay, so ``run`` may not have noticed yet.
--- a/packages/daisypick_router/src/daisypick_router/exchange.py
+++ b/packages/daisypick_router/src/daisypick_router/exchange.py
@@ -78,7 +78,7 @@
             cache.
 
     Raises:
-        CallerLeft: The caller disconnected before the request was sent.
+        CallerDisconnected: The caller disconnected before the request was sent.
     """
     try:
         connection = pool.take(server.address)
@@ -94,9 +94,9 @@
         return NotRun(
             reason="too late to send", reached_server=False, unsent=True
         )
-    if caller.has_left():
+    if caller.has_disconnected():
         pool.give_back(connection)
-        raise http_server.CallerLeft
+        raise http_server.CallerDisconnected
     finished = False
     try:
         outcome = _send_and_read(
--- a/packages/daisypick_router/src/daisypick_router/serving.py
+++ b/packages/daisypick_router/src/daisypick_router/serving.py
@@ -148,7 +148,7 @@
         )
         try:
             outcome = handler.serve(connection, identified)
-        except http_server.CallerLeft:
+        except http_server.CallerDisconnected:
             self._note_end(identified, "caller_left")
             raise
         except OSError as error:
