--- a/packages/daisypick_http/src/daisypick_http/connection.py
+++ b/packages/daisypick_http/src/daisypick_http/connection.py
@@ -38,7 +38,7 @@
     """Nothing was received in time; a request that was sent may have run."""
 
 
-def probe_silence(probed: socket.socket, seconds: int) -> None:
+def enable_keepalive(probed: socket.socket, seconds: int) -> None:
     """Enable TCP keepalive, which closes an unresponsive connection.
 
     A device between the two ends may have dropped its state of a connection;
@@ -114,7 +114,7 @@
         *,
         address: tuple[str, int],
         connect_timeout: float,
-        silence_limit: int | None = None,
+        keepalive_timeout: int | None = None,
     ) -> None:
         """Connect.
 
@@ -122,7 +122,7 @@
             address: IP address and port.
             connect_timeout: Seconds within which the connection must be
                 established.
-            silence_limit: Seconds after which the kernel closes the
+            keepalive_timeout: Seconds after which the kernel closes the
                 connection if the peer does not respond to keepalive probes;
                 ``None`` for no probes.
 
@@ -146,8 +146,8 @@
                 plain_socket.TCP_USER_TIMEOUT,
                 _TCP_USER_TIMEOUT_MS,
             )
-            if silence_limit is not None:
-                probe_silence(self._socket, silence_limit)
+            if keepalive_timeout is not None:
+                enable_keepalive(self._socket, keepalive_timeout)
             self._connect(connect_timeout)
         except OSError as error:
             self._socket.close()
--- a/packages/daisypick_http/src/daisypick_http/pool.py
+++ b/packages/daisypick_http/src/daisypick_http/pool.py
@@ -28,10 +28,10 @@
     """
 
     def __init__(
-        self, *, connect_timeout: float, silence_limit: int | None = None
+        self, *, connect_timeout: float, keepalive_timeout: int | None = None
     ) -> None:
         self._connect_timeout = connect_timeout
-        self._silence_limit = silence_limit
+        self._silence_limit = keepalive_timeout
         self._idle_by_address: dict[
             tuple[str, int], list[connections.Connection]
         ] = {}
@@ -68,7 +68,7 @@
         return connections.Connection(
             address=address,
             connect_timeout=self._connect_timeout,
-            silence_limit=self._silence_limit,
+            keepalive_timeout=self._silence_limit,
         )
 
     def _close_longest_idle(self) -> bool:
@@ -80,7 +80,7 @@
         oldest.pop(0).close()
         return True
 
-    def give_back(self, connection: connections.Connection) -> None:
+    def release(self, connection: connections.Connection) -> None:
         """Keep a connection if it is reusable, else close it."""
         if not connection.is_reusable():
             connection.close()
--- a/packages/daisypick_http/tests/test_pool.py
+++ b/packages/daisypick_http/tests/test_pool.py
@@ -27,7 +27,7 @@
     connection.send(b"GET / HTTP/1.1\r\n\r\n", method=b"GET", timeout=1.0)
     while not connection.reader.complete:
         connection.read(1.0)
-    pool.give_back(connection)
+    pool.release(connection)
 
 
 def test_idle_connection_is_closed_when_descriptors_run_out():
--- a/packages/daisypick_router/src/daisypick_router/engine_way.py
+++ b/packages/daisypick_router/src/daisypick_router/engine_way.py
@@ -306,7 +306,7 @@
                 opened.connection.close()
         if isinstance(ended, relay.Broken):
             return ended
-        self._pool.give_back(opened.connection)
+        self._pool.release(opened.connection)
         if not connection.response_started:
             connection.begin_stream(
                 status=opened.head.status,
--- a/packages/daisypick_router/src/daisypick_router/exchange.py
+++ b/packages/daisypick_router/src/daisypick_router/exchange.py
@@ -90,12 +90,12 @@
     # connection were last checked. A request sent too late would waste the
     # server's capacity.
     if time.monotonic() >= context.deadline:
-        pool.give_back(connection)
+        pool.release(connection)
         return NotRun(
             reason="too late to send", reached_server=False, unsent=True
         )
     if caller.has_disconnected():
-        pool.give_back(connection)
+        pool.release(connection)
         raise http_server.CallerDisconnected
     finished = False
     try:
@@ -107,7 +107,7 @@
         if not finished:
             connection.close()
     if not isinstance(outcome, OpenExchange) and finished:
-        pool.give_back(connection)
+        pool.release(connection)
     return outcome
 
 
--- a/packages/daisypick_router/src/daisypick_router/peer_link.py
+++ b/packages/daisypick_router/src/daisypick_router/peer_link.py
@@ -184,7 +184,7 @@
             # Retried after the pause; the dump shows the state of links.
             connected.close()
             return
-        connection.probe_silence(connected, _KEEPALIVE_TIMEOUT_SECONDS)
+        connection.enable_keepalive(connected, _KEEPALIVE_TIMEOUT_SECONDS)
         channel = peer_channel.PeerChannel(
             socket=connected,
             on_message=self._receive,
--- a/packages/daisypick_router/src/daisypick_router/plain_way.py
+++ b/packages/daisypick_router/src/daisypick_router/plain_way.py
@@ -118,7 +118,7 @@
         if not isinstance(response, relay.WholeResponse):
             opened.connection.close()
     if isinstance(response, relay.WholeResponse):
-        pool.give_back(opened.connection)
+        pool.release(opened.connection)
     return response
 
 
