--- a/packages/daisypick_http/src/daisypick_http/messages.py
+++ b/packages/daisypick_http/src/daisypick_http/messages.py
@@ -18,7 +18,7 @@
 
 # Hop-by-hop headers (RFC 9110, section 7.6.1), and the headers of the framing,
 # which each side sets for its own connection.
-PER_CONNECTION_NAMES = frozenset(
+HOP_BY_HOP_NAMES = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -83,7 +83,7 @@
     return None
 
 
-def drop_per_connection(headers: Headers) -> Headers:
+def drop_hop_by_hop(headers: Headers) -> Headers:
     """Return the headers that may be forwarded to another connection.
 
     Headers listed in ``Connection`` are hop-by-hop too.
@@ -97,8 +97,7 @@
     return tuple(
         (name, value)
         for name, value in headers
-        if name.lower() not in PER_CONNECTION_NAMES
-        and name.lower() not in named
+        if name.lower() not in HOP_BY_HOP_NAMES and name.lower() not in named
     )
 
 
--- a/packages/daisypick_router/src/daisypick_router/engine_way.py
+++ b/packages/daisypick_router/src/daisypick_router/engine_way.py
@@ -296,9 +296,7 @@
                 if not connection.response_started:
                     connection.begin_stream(
                         status=opened.head.status,
-                        headers=messages.drop_per_connection(
-                            opened.head.headers
-                        ),
+                        headers=messages.drop_hop_by_hop(opened.head.headers),
                     )
                 connection.send_chunk(events)
         finally:
@@ -310,7 +308,7 @@
         if not connection.response_started:
             connection.begin_stream(
                 status=opened.head.status,
-                headers=messages.drop_per_connection(opened.head.headers),
+                headers=messages.drop_hop_by_hop(opened.head.headers),
             )
         connection.end_stream()
         return "streamed"
--- a/packages/daisypick_router/src/daisypick_router/plain_way.py
+++ b/packages/daisypick_router/src/daisypick_router/plain_way.py
@@ -128,6 +128,6 @@
     """Relay a server's complete response to the caller."""
     connection.send_whole(
         status=response.head.status,
-        headers=messages.drop_per_connection(response.head.headers),
+        headers=messages.drop_hop_by_hop(response.head.headers),
         body=response.body,
     )
