--- a/packages/daisypick_http/tests/descriptors.py
+++ b/packages/daisypick_http/tests/descriptors.py
@@ -9,7 +9,7 @@
 
 
 @contextlib.contextmanager
-def run_out() -> Iterator[None]:
+def exhaust() -> Iterator[None]:
     """Use up all free file descriptors of this process."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (_MAX_FILES, hard))
--- a/packages/daisypick_http/tests/test_pool.py
+++ b/packages/daisypick_http/tests/test_pool.py
@@ -35,7 +35,7 @@
     pool = pools.Pool(connect_timeout=1.0)
     first, second = _serve(), _serve()
     _exchange(pool, first)
-    with descriptors.run_out():
+    with descriptors.exhaust():
         taken = pool.take(second)
     taken.close()
     assert pool.opened == 2
@@ -46,7 +46,7 @@
     pool = pools.Pool(connect_timeout=1.0)
     address = _serve()
     with (
-        descriptors.run_out(),
+        descriptors.exhaust(),
         pytest.raises(connections.NoDescriptorsError, match="Too many open"),
     ):
         pool.take(address)
--- a/packages/daisypick_router/tests/test_process.py
+++ b/packages/daisypick_router/tests/test_process.py
@@ -106,7 +106,7 @@
     router = _serve(store, desk, engine)
     with fakes.connect(router) as caller:
         fakes.wait_for(lambda: router._connections)
-        with descriptors.run_out():
+        with descriptors.exhaust():
             caller.sendall(fakes.write_request(path))
             answer = fakes.read_answer(caller)
             assert answer.status == 503
