--- a/packages/daisypick_router/src/daisypick_router/engine_way.py
+++ b/packages/daisypick_router/src/daisypick_router/engine_handler.py
@@ -24,7 +24,7 @@
 from daisypick_router import exchange
 from daisypick_router import metrics as metric_numbers
 from daisypick_router import placing as placings
-from daisypick_router import plain_way
+from daisypick_router import plain_handler
 from daisypick_router import relay
 from daisypick_router import tries as try_rules
 
@@ -41,7 +41,7 @@
 _EXPECTED_OUTPUT_SHARE = 0.5
 
 
-class EngineWay:
+class EngineHandler:
     """Handles requests of model services."""
 
     def __init__(
@@ -259,14 +259,16 @@
         context: contexts.Context,
         opened: exchange.OpenExchange,
     ) -> relay.Broken | str:
-        response = plain_way.read_whole(self._pool, opened, context.deadline)
+        response = plain_handler.read_whole(
+            self._pool, opened, context.deadline
+        )
         if isinstance(response, relay.Broken):
             return response
         if connection.response_started:
             return relay.Broken(
                 reason=f"server answered {response.head.status} to go on"
             )
-        plain_way.send_response(connection, response)
+        plain_handler.send_response(connection, response)
         return f"answered_{response.head.status}"
 
     def _relay_stream(
--- a/packages/daisypick_router/src/daisypick_router/plain_way.py
+++ b/packages/daisypick_router/src/daisypick_router/plain_handler.py
@@ -24,7 +24,7 @@
 _SAFE_TIMEOUT_OBJECTIVES = 3.0
 
 
-class PlainWay:
+class PlainHandler:
     """Handles requests of plain services."""
 
     def __init__(
--- a/packages/daisypick_router/src/daisypick_router/process.py
+++ b/packages/daisypick_router/src/daisypick_router/process.py
@@ -25,8 +25,8 @@
 from daisypick_platform import settings as platform_settings
 from daisypick_platform import store as stores
 from daisypick_router import discovery as discoveries
+from daisypick_router import engine_handler
 from daisypick_router import engine_servers
-from daisypick_router import engine_way
 from daisypick_router import idle_connections
 from daisypick_router import intake
 from daisypick_router import load_watch
@@ -35,8 +35,8 @@
 from daisypick_router import metrics as metric_numbers
 from daisypick_router import peer_host
 from daisypick_router import placing as placings
+from daisypick_router import plain_handler
 from daisypick_router import plain_servers
-from daisypick_router import plain_way
 from daisypick_router import serving
 from daisypick_router import settings_watch
 from daisypick_router import store_feed
@@ -143,7 +143,7 @@
         self.serving = serving.Serving(
             discovery=self.discovery,
             overload=self.load.overload,
-            plain=plain_way.PlainWay(
+            plain=plain_handler.PlainHandler(
                 pool=self._pool,
                 servers=plain_servers.PlainServers(
                     discovery=self.discovery,
@@ -156,7 +156,7 @@
                 ),
                 tries=tries,
             ),
-            engine=engine_way.EngineWay(
+            engine=engine_handler.EngineHandler(
                 pool=self._pool,
                 discovery=self.discovery,
                 placing=self.placing,
--- a/packages/daisypick_router/src/daisypick_router/serving.py
+++ b/packages/daisypick_router/src/daisypick_router/serving.py
@@ -1,8 +1,8 @@
 """Handles a caller's request, from its head to the end of the response.
 
 ``identify`` finds the route, the organisation and the service. Requests of
-plain services are then handled by ``plain_way`` and those of model services
-by ``engine_way``. Each request ends with a response, with a refusal that
+plain services are then handled by ``plain_handler`` and those of model services
+by ``engine_handler``. Each request ends with a response, with a refusal that
 states correctly whether it ran, or with an aborted connection; the outcome
 and its reason are logged.
 """
@@ -18,11 +18,11 @@
 from daisypick_platform import request_headers
 from daisypick_router import context as contexts
 from daisypick_router import discovery as discoveries
-from daisypick_router import engine_way
+from daisypick_router import engine_handler
 from daisypick_router import identify
 from daisypick_router import log as logs
 from daisypick_router import metrics as metric_numbers
-from daisypick_router import plain_way
+from daisypick_router import plain_handler
 from daisypick_router import tries as try_rules
 
 # Seconds after the start of a graceful stop during which requests may still
@@ -42,8 +42,8 @@
         *,
         discovery: discoveries.Discovery,
         overload: overloads.Overload,
-        plain: plain_way.PlainWay,
-        engine: engine_way.EngineWay,
+        plain: plain_handler.PlainHandler,
+        engine: engine_handler.EngineHandler,
         tries: try_rules.Tries,
         log: logs.Log,
         metrics: metric_numbers.Metrics,
