--- a/packages/daisypick_router/src/daisypick_router/engine_handler.py
+++ b/packages/daisypick_router/src/daisypick_router/engine_handler.py
@@ -26,7 +26,7 @@
 from daisypick_router import placing as placings
 from daisypick_router import plain_handler
 from daisypick_router import relay
-from daisypick_router import tries as try_rules
+from daisypick_router import retry_policy as retry_policies
 
 _EVENT_STREAM = b"text/event-stream"
 # Seconds without an event after which a resumable stream is resumed at another
@@ -50,7 +50,7 @@
         pool: pools.Pool,
         discovery: discoveries.Discovery,
         placing: placings.Placing,
-        tries: try_rules.Tries,
+        retry_policy: retry_policies.RetryPolicy,
         metrics: metric_numbers.Metrics,
         router: str,
         data_centre: str,
@@ -58,7 +58,7 @@
         self._pool = pool
         self._discovery = discovery
         self._placing = placing
-        self._tries = tries
+        self._retry_policy = retry_policy
         self._metrics = metrics
         self._router = router
         self._data_centre = data_centre
@@ -108,7 +108,7 @@
         stream = event_stream.EventStream(
             last_id=context.caller_headers.last_event
         )
-        result: try_rules.FailedTry | None = None
+        result: retry_policies.FailedTry | None = None
         organisation = context.organisation or ""
         self._count_demand(context, organisation)
         refused = self._placing.refuse_locally(
@@ -116,7 +116,7 @@
         )
         if refused is not None:
             return self._make_failure(context, None, refused)
-        while result is None or self._tries.may_retry(context, result):
+        while result is None or self._retry_policy.may_retry(context, result):
             work = self._make_job(context)
             action = self._placing.acquire(context.service, work)
             if isinstance(action, actions.Refuse):
@@ -133,17 +133,17 @@
             )
             if isinstance(result, str):
                 return result
-            self._tries.note_failed(context, action.server, result)
-        return try_rules.choose_failure(context, result)
+            self._retry_policy.note_failed(context, action.server, result)
+        return retry_policies.choose_failure(context, result)
 
     def _make_failure(
         self,
         context: contexts.Context,
-        result: try_rules.FailedTry | None,
+        result: retry_policies.FailedTry | None,
         refused: actions.Refuse,
     ) -> failure.Failure:
         if context.may_have_run:
-            return try_rules.choose_failure(context, result)
+            return retry_policies.choose_failure(context, result)
         return failure.Failure(
             code=codes.TOO_LATE,
             reason=refused.reason,
@@ -188,9 +188,9 @@
         server: backend_server.BackendServer,
         source: backend_server.BackendServer | None,
         stream: event_stream.EventStream,
-    ) -> try_rules.FailedTry | str:
+    ) -> retry_policies.FailedTry | str:
         """Send a request to one server and relay the response."""
-        result: try_rules.FailedTry | str | None = None
+        result: retry_policies.FailedTry | str | None = None
         try:
             result = self._exchange(
                 connection, context, work, server, source, stream
@@ -215,7 +215,7 @@
         server: backend_server.BackendServer,
         source: backend_server.BackendServer | None,
         stream: event_stream.EventStream,
-    ) -> try_rules.FailedTry | str:
+    ) -> retry_policies.FailedTry | str:
         opened = exchange.open_exchange(
             self._pool,
             connection,
@@ -246,7 +246,7 @@
         self, context: contexts.Context, *, servers_reached: int
     ) -> float:
         left = context.deadline - time.monotonic()
-        if not self._tries.may_fail_over(
+        if not self._retry_policy.may_fail_over(
             context, servers_reached=servers_reached
         ):
             return left
@@ -333,7 +333,7 @@
             isinstance(events, relay.Broken)
             and events.timed_out
             and until < context.deadline
-            and not self._tries.may_fail_over(
+            and not self._retry_policy.may_fail_over(
                 context, servers_reached=context.servers_reached
             )
         ):
@@ -360,7 +360,7 @@
     return min(expected, caller_headers.output_tokens or expected)
 
 
-def _is_server_failure(result: try_rules.FailedTry | str | None) -> bool:
+def _is_server_failure(result: retry_policies.FailedTry | str | None) -> bool:
     """Return whether the server caused the failure of a try."""
     if result is None or isinstance(result, str):
         return False
--- a/packages/daisypick_router/src/daisypick_router/plain_handler.py
+++ b/packages/daisypick_router/src/daisypick_router/plain_handler.py
@@ -16,7 +16,7 @@
 from daisypick_router import exchange
 from daisypick_router import plain_servers
 from daisypick_router import relay
-from daisypick_router import tries as try_rules
+from daisypick_router import retry_policy as retry_policies
 
 # Timeout for the head of the response to a safe request, as a multiple of the
 # route's latency target. The request is then retried elsewhere: the server
@@ -32,11 +32,11 @@
         *,
         pool: pools.Pool,
         servers: plain_servers.PlainServers,
-        tries: try_rules.Tries,
+        retry_policy: retry_policies.RetryPolicy,
     ) -> None:
         self._pool = pool
         self._servers = servers
-        self._tries = tries
+        self._retry_policy = retry_policy
 
     def serve(
         self,
@@ -45,8 +45,8 @@
     ) -> failure.Failure | str:
         """Answer a request; return the outcome, or the failure."""
         last_response: relay.WholeResponse | None = None
-        result: try_rules.FailedTry | relay.WholeResponse | None = None
-        while result is None or self._tries.may_retry(context, result):
+        result: retry_policies.FailedTry | relay.WholeResponse | None = None
+        while result is None or self._retry_policy.may_retry(context, result):
             server = self._servers.pick(
                 context.service, context.tried_servers, time.monotonic()
             )
@@ -60,22 +60,24 @@
             if isinstance(result, relay.WholeResponse):
                 last_response = result
                 if result.head.status < 500:
-                    self._tries.outcomes.note_success(server.name)
+                    self._retry_policy.outcomes.note_success(server.name)
                     break
-                self._tries.outcomes.note_failure(server.name, time.monotonic())
+                self._retry_policy.outcomes.note_failure(
+                    server.name, time.monotonic()
+                )
             else:
-                self._tries.note_failed(context, server.name, result)
+                self._retry_policy.note_failed(context, server.name, result)
         if last_response is not None:
             send_response(connection, last_response)
             return f"answered_{last_response.head.status}"
-        return try_rules.choose_failure(context, result)
+        return retry_policies.choose_failure(context, result)
 
     def _try(
         self,
         connection: http_server.CallerConnection,
         context: contexts.Context,
         server: backend_server.BackendServer,
-    ) -> try_rules.FailedTry | relay.WholeResponse:
+    ) -> retry_policies.FailedTry | relay.WholeResponse:
         head_timeout = context.deadline - time.monotonic()
         if context.route.kind == route_table.SAFE and self._may_fail_over(
             context
@@ -100,7 +102,7 @@
 
     def _may_fail_over(self, context: contexts.Context) -> bool:
         """Return whether another server is left if the next one times out."""
-        return self._tries.may_fail_over(
+        return self._retry_policy.may_fail_over(
             context, servers_reached=context.servers_reached + 1
         ) and self._servers.has_untried(
             context.service, context.tried_servers, time.monotonic()
--- a/packages/daisypick_router/src/daisypick_router/process.py
+++ b/packages/daisypick_router/src/daisypick_router/process.py
@@ -37,10 +37,10 @@
 from daisypick_router import placing as placings
 from daisypick_router import plain_handler
 from daisypick_router import plain_servers
+from daisypick_router import retry_policy as retry_policies
 from daisypick_router import serving
 from daisypick_router import settings_watch
 from daisypick_router import store_feed
-from daisypick_router import tries as try_rules
 
 # Servers are a few milliseconds away, so one that does not accept in this time
 # is down or unreachable. A lost SYN would be retransmitted only after 1 s.
@@ -103,7 +103,7 @@
             on_change=self._update_members,
         )
         outcomes = outcome_records.Outcomes()
-        tries = try_rules.Tries(
+        retry_policy = retry_policies.RetryPolicy(
             outcomes=outcomes,
             budget=self._budget,
             log=self.log,
@@ -154,18 +154,18 @@
                     data_centre=settings.data_centre,
                     rng=rng,
                 ),
-                tries=tries,
+                retry_policy=retry_policy,
             ),
             engine=engine_handler.EngineHandler(
                 pool=self._pool,
                 discovery=self.discovery,
                 placing=self.placing,
-                tries=tries,
+                retry_policy=retry_policy,
                 metrics=self.metrics,
                 router=settings.name,
                 data_centre=settings.data_centre,
             ),
-            tries=tries,
+            retry_policy=retry_policy,
             log=self.log,
             metrics=self.metrics,
             rng=rng,
--- a/packages/daisypick_router/src/daisypick_router/tries.py
+++ b/packages/daisypick_router/src/daisypick_router/retry_policy.py
@@ -25,7 +25,7 @@
 FailedTry = exchange.NotRun | exchange.Unknown | relay.Broken
 
 
-class Tries:
+class RetryPolicy:
     """Retry policy, shared by plain and model services."""
 
     def __init__(
--- a/packages/daisypick_router/src/daisypick_router/serving.py
+++ b/packages/daisypick_router/src/daisypick_router/serving.py
@@ -23,7 +23,7 @@
 from daisypick_router import log as logs
 from daisypick_router import metrics as metric_numbers
 from daisypick_router import plain_handler
-from daisypick_router import tries as try_rules
+from daisypick_router import retry_policy as retry_policies
 
 # Seconds after the start of a graceful stop during which requests may still
 # start. Later ones might not finish before the process is killed and would be
@@ -44,7 +44,7 @@
         overload: overloads.Overload,
         plain: plain_handler.PlainHandler,
         engine: engine_handler.EngineHandler,
-        tries: try_rules.Tries,
+        retry_policy: retry_policies.RetryPolicy,
         log: logs.Log,
         metrics: metric_numbers.Metrics,
         rng: random.Random,
@@ -53,7 +53,7 @@
         self._overload = overload
         self._plain = plain
         self._engine = engine
-        self._tries = tries
+        self._retry_policy = retry_policy
         self._log = log
         self._metrics = metrics
         self._rng = rng
@@ -142,7 +142,7 @@
             self._refuse(connection, None, identified, request)
             return identified.reason
         self._context_by_connection[connection] = identified
-        self._tries.note_request(identified.service.name)
+        self._retry_policy.note_request(identified.service.name)
         handler = (
             self._plain if identified.service.engine is None else self._engine
         )
