--- a/packages/daisypick_router/src/daisypick_router/__init__.py
+++ b/packages/daisypick_router/src/daisypick_router/__init__.py
@@ -10,7 +10,7 @@
 * ``exchange``: one request at one backend server.
 * ``relay``: sends a server's response to the caller.
 * ``plain_servers``: selects a server of a plain service.
-* ``engine_servers``: selects a server and a start time for a model service.
+* ``engine_schedulers``: selects a server and a start time for a model service.
 * ``discovery``: local copies of objects in the platform's store.
 * ``membership``: the routers of the fleet.
 * ``log``: bounded, structured log lines.
--- a/packages/daisypick_router/src/daisypick_router/engine_servers.py
+++ b/packages/daisypick_router/src/daisypick_router/engine_schedulers.py
@@ -29,7 +29,7 @@
 _EXPIRE_SECONDS = 1.0
 
 
-class EngineServers:
+class EngineSchedulers:
     """Schedulers by service, and the callbacks of waiting requests."""
 
     def __init__(
--- a/packages/daisypick_router/src/daisypick_router/peer_host.py
+++ b/packages/daisypick_router/src/daisypick_router/peer_host.py
@@ -15,7 +15,7 @@
 from daisypick_core.scheduling import actions
 from daisypick_core.serving import fleet_configuration
 from daisypick_router import discovery as discoveries
-from daisypick_router import engine_servers
+from daisypick_router import engine_schedulers
 from daisypick_router import load_watch
 from daisypick_router import log as logs
 from daisypick_router import peer_channel
@@ -47,7 +47,7 @@
         self,
         *,
         discovery: discoveries.Discovery,
-        engines: engine_servers.EngineServers,
+        engines: engine_schedulers.EngineSchedulers,
         feed: store_feed.StoreFeed,
         load: load_watch.LoadWatch,
         log: logs.Log,
--- a/packages/daisypick_router/src/daisypick_router/placing.py
+++ b/packages/daisypick_router/src/daisypick_router/placing.py
@@ -23,7 +23,7 @@
 from daisypick_core.scheduling import pauses
 from daisypick_core.scheduling import scheduler as schedulers
 from daisypick_core.serving import fleet_configuration
-from daisypick_router import engine_servers
+from daisypick_router import engine_schedulers
 from daisypick_router import host_links
 from daisypick_router import load_watch
 from daisypick_router import log as logs
@@ -59,9 +59,9 @@
         name: str,
         power: float,
         membership: memberships.Membership,
-        hosted: engine_servers.EngineServers,
+        hosted: engine_schedulers.EngineSchedulers,
         feed: store_feed.StoreFeed,
-        alone: engine_servers.EngineServers,
+        alone: engine_schedulers.EngineSchedulers,
         load: load_watch.LoadWatch,
         log: logs.Log,
         metrics: metric_numbers.Metrics,
--- a/packages/daisypick_router/src/daisypick_router/process.py
+++ b/packages/daisypick_router/src/daisypick_router/process.py
@@ -26,7 +26,7 @@
 from daisypick_platform import store as stores
 from daisypick_router import discovery as discoveries
 from daisypick_router import engine_handler
-from daisypick_router import engine_servers
+from daisypick_router import engine_schedulers
 from daisypick_router import idle_connections
 from daisypick_router import intake
 from daisypick_router import load_watch
@@ -113,7 +113,7 @@
         # knows the engines' reading speeds.
         speed_by_service: dict[str, prefill_speed.ServiceSpeed] = {}
         self.hosted, self._local_engines = (
-            engine_servers.EngineServers(
+            engine_schedulers.EngineSchedulers(
                 discovery=self.discovery,
                 window_seconds=settings.bounds.quota_window_seconds,
                 rng=rng,
