--- a/packages/daisypick_router/src/daisypick_router/engine_schedulers.py
+++ b/packages/daisypick_router/src/daisypick_router/engine_schedulers.py
@@ -207,13 +207,13 @@
             work, server, time.monotonic(), ahead=ahead, copied=copied
         )
 
-    def note_known(
+    def note_earlier_start(
         self,
         service_name: str,
         work: job.Job,
         server: str,
         *,
-        reading: bool,
+        prefilling: bool,
         ended: bool,
     ) -> None:
         """Record an earlier start decided by another scheduler.
@@ -226,20 +226,20 @@
             return
         now = time.monotonic()
         scheduler.note_started_elsewhere(work, server, now)
-        if not reading:
+        if not prefilling:
             scheduler.note_first_token(work.key, now, learn=False)
         if ended:
             self._apply(scheduler.note_end(work.key, now))
 
     def reconcile(
-        self, router: str, *, running: Set[str], reading: Set[str]
+        self, router: str, *, running: Set[str], prefilling: Set[str]
     ) -> None:
         """Set which of a router's requests run and which are in prefill."""
         now = time.monotonic()
         for scheduler in self._scheduler_by_service.values():
             self._apply(
                 scheduler.reconcile(
-                    router, running=running, prefilling=reading, now=now
+                    router, running=running, prefilling=prefilling, now=now
                 )
             )
 
--- a/packages/daisypick_router/src/daisypick_router/peer_host.py
+++ b/packages/daisypick_router/src/daisypick_router/peer_host.py
@@ -109,7 +109,7 @@
             return
         self._log.write("peer", "A router did not reconnect.", router=router)
         self._engines.reconcile(
-            router, running=frozenset(), reading=frozenset()
+            router, running=frozenset(), prefilling=frozenset()
         )
 
     def _log_invalid(self, error: failure.Failure) -> None:
@@ -193,11 +193,11 @@
             self._router_by_channel.get(channel, ""),
             time.monotonic(),
         )
-        self._engines.note_known(
+        self._engines.note_earlier_start(
             message.service,
             work,
             message.server,
-            reading=message.reading,
+            prefilling=message.reading,
             ended=message.ended,
         )
 
@@ -212,7 +212,7 @@
             self._engines.reconcile(
                 router,
                 running=frozenset(message.running),
-                reading=frozenset(message.reading),
+                prefilling=frozenset(message.reading),
             )
 
     @handles(peer_messages.Withdraw)
--- a/packages/daisypick_router/src/daisypick_router/placing.py
+++ b/packages/daisypick_router/src/daisypick_router/placing.py
@@ -418,11 +418,11 @@
         """Load placements decided by other hosts into the own scheduler."""
         for placement in self._placements_by_service.get(service, ()):
             key = placement.work.key
-            self._hosted.note_known(
+            self._hosted.note_earlier_start(
                 service,
                 placement.work,
                 placement.server,
-                reading=key in self._prefilling,
+                prefilling=key in self._prefilling,
                 ended=key not in self._running,
             )
 
