--- a/packages/daisypick_router/src/daisypick_router/placing.py
+++ b/packages/daisypick_router/src/daisypick_router/placing.py
@@ -61,7 +61,7 @@
         membership: memberships.Membership,
         hosted: engine_schedulers.EngineSchedulers,
         feed: store_feed.StoreFeed,
-        alone: engine_schedulers.EngineSchedulers,
+        fallback: engine_schedulers.EngineSchedulers,
         load: load_watch.LoadWatch,
         log: logs.Log,
         metrics: metric_numbers.Metrics,
@@ -78,7 +78,7 @@
             rng=rng,
             on_up=self._send_placements,
         )
-        self.alone = alone
+        self.fallback = fallback
         self._load = load
         self._log = log
         self._metrics = metrics
@@ -114,7 +114,7 @@
                 # Drain the tallies of all schedulers: those that are not
                 # logged would otherwise grow with every organisation that
                 # ever sent a request.
-                self.alone.take_tally(service, 0)
+                self.fallback.take_tally(service, 0)
                 decisions = self._hosted.take_tally(
                     service, _REPORTED_ORGANISATIONS
                 )
@@ -229,13 +229,13 @@
             action = self._submit_to_host(
                 service, work, self.links.find_link(host)
             )
-        if isinstance(action, actions.Start) and not self.alone.can_handle(
+        if isinstance(action, actions.Start) and not self.fallback.can_handle(
             service, work.router, action.server
         ):
             action, work = None, self._decline_start(service, work, action)
         if action is None:
             self._metrics.count("placed_alone_total", service=service.name)
-            action = self.alone.acquire(service, work)
+            action = self.fallback.acquire(service, work)
             if isinstance(action, actions.Start):
                 self._report_start(service, work, action.server)
         elif isinstance(action, actions.Start):
@@ -243,7 +243,7 @@
                 # The host changed while the request was waiting; the new
                 # one does not know of this start.
                 self._report_start(service, work, action.server)
-            self.alone.note_started_elsewhere(
+            self.fallback.note_started_elsewhere(
                 service,
                 work,
                 action.server,
@@ -345,7 +345,7 @@
         self._log.write("placing", "First event.", id=key)
         late = self._load.is_late() or key in self._started_during_lag
         self._started_during_lag.discard(key)
-        self.alone.note_first_token(service, key, late=late)
+        self.fallback.note_first_token(service, key, late=late)
         self._hosted.note_first_token(service, key, late=late)
         self._notify_hosts(
             service,
@@ -357,7 +357,7 @@
         self._prefilling.discard(key)
         self._started_during_lag.discard(key)
         self._running.discard(key)
-        self.alone.note_end(service, key)
+        self.fallback.note_end(service, key)
         self._hosted.note_end(service, key)
         self._notify_hosts(
             service, peer_messages.End(service=service.name, key=key)
@@ -374,7 +374,7 @@
         self._prefilling.discard(key)
         self._started_during_lag.discard(key)
         self._running.discard(key)
-        self.alone.note_failure(service, key, certain=certain)
+        self.fallback.note_failure(service, key, certain=certain)
         self._hosted.note_failure(service, key, certain=certain)
         self._notify_hosts(
             service,
--- a/packages/daisypick_router/src/daisypick_router/process.py
+++ b/packages/daisypick_router/src/daisypick_router/process.py
@@ -127,7 +127,7 @@
             membership=self.membership,
             hosted=self.hosted,
             feed=self._feed,
-            alone=self._local_engines,
+            fallback=self._local_engines,
             load=self.load,
             log=self.log,
             metrics=self.metrics,
--- a/packages/daisypick_router/tests/test_placing.py
+++ b/packages/daisypick_router/tests/test_placing.py
@@ -253,15 +253,15 @@
     for router in routers.values():
         directory = router.discovery.directory
         fakes.wait_for(lambda known=directory: "e-0" in known.server_by_name)
-    alone = routers[requester].placing.alone
+    fallback = routers[requester].placing.fallback
     service = routers[requester].discovery.configuration.service_by_name[
         "assist"
     ]
-    scheduler = alone.find_scheduler(service)
+    scheduler = fallback.find_scheduler(service)
     for turn in range(4):
         # Sent requests count for about a second; all turns may take longer
         # than that on a busy machine.
-        while alone.can_handle(service, requester, "e-0"):
+        while fallback.can_handle(service, requester, "e-0"):
             scheduler.note_sent(requester, "e-0", time.monotonic())
         answer = fakes.call(routers[requester], "/ask/1", attempt=f"a-{turn}")
         assert answer.served
@@ -463,8 +463,8 @@
     for name, router in routers.items():
         service = router.discovery.configuration.service_by_name["assist"]
         work = _make_job(f"{name}-1", arrived_at=time.monotonic())
-        router.placing.alone.acquire(service, work)
-        scheduler = router.placing.alone.find_scheduler(service)
+        router.placing.fallback.acquire(service, work)
+        scheduler = router.placing.fallback.find_scheduler(service)
         fakes.wait_for(
             lambda known=scheduler: not known.tally._sums_by_organisation
         )
