--- a/packages/daisypick_router/src/daisypick_router/host_links.py
+++ b/packages/daisypick_router/src/daisypick_router/host_links.py
@@ -166,11 +166,11 @@
         if feed_source is self.feed_source:
             return
         if self.feed_source is not None:
-            self.feed_source.tell(peer_messages.Follow(wanted=False))
+            self.feed_source.send(peer_messages.Follow(wanted=False))
         self.feed_source = feed_source
         self._feed.is_following = feed_source is not None
         if feed_source is not None:
-            feed_source.tell(peer_messages.Follow(wanted=True))
+            feed_source.send(peer_messages.Follow(wanted=True))
         self._log.write(
             "store",
             "Receiving changes from another router."
@@ -194,5 +194,5 @@
             if now - slept_at > _STALLED_SECONDS:
                 continue
             for link in list(self._link_by_name.values()):
-                link.watch_silence(now)
+                link.check_heartbeats(now)
             self._choose_feed_source()
--- a/packages/daisypick_router/src/daisypick_router/peer_link.py
+++ b/packages/daisypick_router/src/daisypick_router/peer_link.py
@@ -63,8 +63,8 @@
         self._deliver_by_key: dict[str, Callable[[typing.Any], None]] = {}
         # When the first waiting request was found to be written to the socket,
         # and its number among the messages of the channel.
-        self._asked_at: float | None = None
-        self._first_asked = 0
+        self._submitted_at: float | None = None
+        self._first_submitted = 0
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
@@ -90,7 +90,7 @@
         """Whether a connection is established."""
         return self._channel is not None and not self._channel.closed
 
-    def ask(
+    def submit(
         self,
         message: peer_messages.Submit,
         deliver: Callable[[typing.Any], None],
@@ -101,8 +101,8 @@
         not reply.
         """
         if not self._deliver_by_key:
-            self._asked_at = None
-            self._first_asked = self._channel.queued + 1
+            self._submitted_at = None
+            self._first_submitted = self._channel.queued + 1
         self._deliver_by_key[message.work.key] = deliver
         self._channel.send(message)
 
@@ -110,22 +110,24 @@
         """Stop waiting for the reply to a request."""
         self._deliver_by_key.pop(key, None)
 
-    def tell(self, message: typing.Any) -> None:
+    def send(self, message: typing.Any) -> None:
         """Send a message that has no reply, if connected."""
         if self._channel is not None:
             self._channel.send(message)
 
-    def watch_silence(self, now: float) -> None:
+    def check_heartbeats(self, now: float) -> None:
         """Fail the waiting requests if the host's heartbeats have stopped."""
         if not self._deliver_by_key or self._channel is None:
             return
-        if self._asked_at is None:
-            if self._channel.written < self._first_asked:
+        if self._submitted_at is None:
+            if self._channel.written < self._first_submitted:
                 # The event loop is late and has not sent the request yet, so
                 # the host cannot reply.
                 return
-            self._asked_at = now
-        last_received_at = max(self._channel.last_received_at, self._asked_at)
+            self._submitted_at = now
+        last_received_at = max(
+            self._channel.last_received_at, self._submitted_at
+        )
         if (
             now - last_received_at < HEARTBEAT_TIMEOUT_SECONDS
             or self._channel.has_unread()
--- a/packages/daisypick_router/src/daisypick_router/placing.py
+++ b/packages/daisypick_router/src/daisypick_router/placing.py
@@ -302,14 +302,14 @@
     ) -> actions.Action | None:
         result = event.AsyncResult()
         wire = peer_messages.write_job(work, time.monotonic())
-        link.ask(
+        link.submit(
             peer_messages.Submit(service=service.name, work=wire), result.set
         )
         try:
             answer = result.get()
         except gevent.GreenletExit:
             link.forget(work.key)
-            link.tell(
+            link.send(
                 peer_messages.Withdraw(service=service.name, key=work.key)
             )
             raise
@@ -389,7 +389,7 @@
         for name in self._find_informed_hosts(service.name):
             link = self.links.find_link(name)
             if link is not None:
-                link.tell(message)
+                link.send(message)
 
     def _find_informed_hosts(self, service: str) -> list[str]:
         """Return the candidate hosts that know this router's requests.
@@ -430,7 +430,7 @@
         """Send running and recent placements to a newly connected host."""
         for service in self._placements_by_service:
             self._send_service_placements(link, service)
-        link.tell(
+        link.send(
             peer_messages.Reconcile(
                 running=tuple(self._running), reading=tuple(self._prefilling)
             )
@@ -440,7 +440,7 @@
         self, link: peer_link.PeerLink, service: str
     ) -> None:
         for placement in self._placements_by_service.get(service, ()):
-            link.tell(self._write_running(service, placement))
+            link.send(self._write_running(service, placement))
 
     def _write_running(
         self, service: str, placement: _Placement
--- a/packages/daisypick_router/tests/test_placing.py
+++ b/packages/daisypick_router/tests/test_placing.py
@@ -431,7 +431,7 @@
     channel = link._channel
     received = []
     link._deliver_by_key["a-1"] = received.append
-    link._asked_at = time.monotonic()
+    link._submitted_at = time.monotonic()
     time.sleep(0.4)
     gevent.sleep(0.02)
     assert received == []
@@ -488,7 +488,7 @@
     fakes.wait_for(lambda: link.is_connected)
     host, _ = listener.accept()
     gevent.sleep(0.02)
-    link.ask(
+    link.submit(
         peer_messages.Submit(service="assist", work=_wire_job("a-1/0")),
         lambda answer: None,
     )
@@ -501,8 +501,8 @@
 def _watch_for(link, seconds):
     """Check a link's timeout now and that many seconds later."""
     now = time.monotonic()
-    link.watch_silence(now)
-    link.watch_silence(now + seconds)
+    link.check_heartbeats(now)
+    link.check_heartbeats(now + seconds)
 
 
 def test_host_with_unread_messages_is_not_timed_out(pending_link):
