--- a/packages/daisypick_router/src/daisypick_router/host_links.py
+++ b/packages/daisypick_router/src/daisypick_router/host_links.py
@@ -35,7 +35,7 @@
 class HostLinks:
     """Links by router, and the source of the store's changes.
 
-    ``on_up(link)`` is called when a connection is established.
+    ``on_connect(link)`` is called when a connection is established.
 
     Attributes:
         feed_source: Link to the router that forwards the store's changes, or
@@ -53,7 +53,7 @@
         feed: store_feed.StoreFeed,
         log: logs.Log,
         rng: random.Random,
-        on_up: Callable[[peer_link.PeerLink], None],
+        on_connect: Callable[[peer_link.PeerLink], None],
     ) -> None:
         self._name = name
         self._power = power
@@ -61,7 +61,7 @@
         self._feed = feed
         self._log = log
         self._rng = rng
-        self._on_up = on_up
+        self._on_connect = on_connect
         self._link_by_name: dict[str, peer_link.PeerLink] = {}
         self._services: set[str] = set()
         self._candidates_by_service: dict[str, list[str]] = {}
@@ -109,7 +109,7 @@
             own_name=self._name,
             log=self._log,
             rng=self._rng,
-            on_up=self._handle_connect,
+            on_connect=self._handle_connect,
             on_feed=self._feed.receive,
             on_leaving=self._handle_leaving,
         )
@@ -156,7 +156,7 @@
             self.feed_source = None
             self._feed.is_following = False
         self._choose_feed_source()
-        self._on_up(link)
+        self._on_connect(link)
 
     def _choose_feed_source(self) -> None:
         """Follow the first connected router that can be the feed source."""
--- a/packages/daisypick_router/src/daisypick_router/peer_link.py
+++ b/packages/daisypick_router/src/daisypick_router/peer_link.py
@@ -31,7 +31,7 @@
 class PeerLink:
     """Maintains a connection to one router and the requests waiting for it.
 
-    ``on_up(link)`` is called when a connection is established, to report
+    ``on_connect(link)`` is called when a connection is established, to report
     running requests to the host; ``on_feed(message)`` is called for each change
     of the store that it forwards; ``on_leaving(link)`` is called when it
     announces that it stops.
@@ -45,7 +45,7 @@
         own_name: str,
         log: logs.Log,
         rng: random.Random,
-        on_up: Callable[["PeerLink"], None],
+        on_connect: Callable[["PeerLink"], None],
         on_feed: Callable[[peer_messages.Feed], None],
         on_leaving: Callable[["PeerLink"], None],
     ) -> None:
@@ -54,7 +54,7 @@
         self._own_name = own_name
         self._log = log
         self._rng = rng
-        self._on_up = on_up
+        self._on_connect = on_connect
         self._on_feed = on_feed
         self._on_leaving = on_leaving
         self._channel: peer_channel.PeerChannel | None = None
@@ -195,7 +195,7 @@
         self._channel = channel
         self.leaving = False
         channel.send(peer_messages.Hello(router=self._own_name))
-        self._on_up(self)
+        self._on_connect(self)
         channel.run()
 
     def _log_invalid(self, error: failure.Failure) -> None:
--- a/packages/daisypick_router/src/daisypick_router/placing.py
+++ b/packages/daisypick_router/src/daisypick_router/placing.py
@@ -76,7 +76,7 @@
             feed=feed,
             log=log,
             rng=rng,
-            on_up=self._send_placements,
+            on_connect=self._send_placements,
         )
         self.fallback = fallback
         self._load = load
--- a/packages/daisypick_router/tests/test_placing.py
+++ b/packages/daisypick_router/tests/test_placing.py
@@ -480,7 +480,7 @@
         own_name="r-1",
         log=logs.Log(process="r-1"),
         rng=random.Random(1),
-        on_up=lambda link: None,
+        on_connect=lambda link: None,
         on_feed=lambda message: None,
         on_leaving=lambda link: None,
     )
