--- a/packages/daisypick_router/src/daisypick_router/peer_host.py
+++ b/packages/daisypick_router/src/daisypick_router/peer_host.py
@@ -118,9 +118,9 @@
     def _receive(
         self, channel: peer_channel.PeerChannel, message: typing.Any
     ) -> None:
-        self.take(channel, message)
+        self.handle_message(channel, message)
 
-    def take(
+    def handle_message(
         self, channel: peer_channel.PeerChannel, message: typing.Any
     ) -> None:
         """Handle a router's message."""
--- a/packages/daisypick_router/tests/test_placing.py
+++ b/packages/daisypick_router/tests/test_placing.py
@@ -73,7 +73,7 @@
     routers, host = _start_fleet(store, _engines(2))
     requester = next(name for name in routers if name != host)
     frozen = routers[host].peer_host
-    frozen.take = lambda channel, message: None
+    frozen.handle_message = lambda channel, message: None
     began = time.monotonic()
     answer = fakes.call(routers[requester], "/ask/1")
     assert answer.served
@@ -155,13 +155,13 @@
     requester_directory.put(entry._replace(draining=True))
     submitted = []
     peer_host = routers[host].peer_host
-    take = peer_host.take
+    handle_message = peer_host.handle_message
 
     def _count(channel, message):
         submitted.append(type(message))
-        take(channel, message)
+        handle_message(channel, message)
 
-    peer_host.take = _count
+    peer_host.handle_message = _count
     for turn in range(6):
         assert fakes.call(
             routers[requester], "/ask/1", attempt=f"a-{turn}"
