--- a/packages/daisypick_router/src/daisypick_router/load_watch.py
+++ b/packages/daisypick_router/src/daisypick_router/load_watch.py
@@ -62,9 +62,9 @@
             # time. This waits for one pass through that queue.
             gevent.sleep(0)
             now = time.monotonic()
-            self.take(now - slept_at - _PERIOD_SECONDS, now)
+            self.record_lag(now - slept_at - _PERIOD_SECONDS, now)
 
-    def take(self, lag: float, now: float) -> None:
+    def record_lag(self, lag: float, now: float) -> None:
         """Record the lag of one wake-up of the timer."""
         self._woke_at = now
         self._last_lag = max(lag, 0.0)
--- a/packages/daisypick_router/tests/test_lagging_loop.py
+++ b/packages/daisypick_router/tests/test_lagging_loop.py
@@ -153,12 +153,12 @@
     server = fakes.FakeServer("e-1", "assist", fakes.stream_five)
     router = _serve(store, server)
     (before,) = router.hosted.describe("assist")["engines"]
-    router.load.take(0.3, time.monotonic())
+    router.load.record_lag(0.3, time.monotonic())
     assert fakes.call(router, "/ask/1", attempt="a-1").served
     (after,) = router.hosted.describe("assist")["engines"]
     assert after["base"] == before["base"]
     assert after["spread"] == before["spread"]
-    router.load.take(0.0, time.monotonic())
+    router.load.record_lag(0.0, time.monotonic())
     assert fakes.call(router, "/ask/1", attempt="a-2").served
     (after,) = router.hosted.describe("assist")["engines"]
     assert after["base"] != before["base"]
--- a/packages/daisypick_router/tests/test_serving.py
+++ b/packages/daisypick_router/tests/test_serving.py
@@ -642,7 +642,7 @@
     router = _serve(store, server)
     now = time.monotonic()
     for _ in range(2):
-        router.load.take(0.4, now - 3.0)
+        router.load.record_lag(0.4, now - 3.0)
     assert not router.is_ready
     with fakes.connect(router) as caller:
         caller.sendall(fakes.write_request("/look/1", attempt="a-1"))
@@ -651,7 +651,7 @@
         assert answer.headers["connection"] == "close"
         assert caller.recv(1) == b""
     for _ in range(40):
-        router.load.take(0.0, now + 2.0)
+        router.load.record_lag(0.0, now + 2.0)
     assert router.is_ready
 
 
