--- a/packages/daisypick_router/src/daisypick_router/host_links.py
+++ b/packages/daisypick_router/src/daisypick_router/host_links.py
@@ -48,7 +48,7 @@
         self,
         *,
         name: str,
-        power: float,
+        cores: float,
         membership: memberships.Membership,
         feed: store_feed.StoreFeed,
         log: logs.Log,
@@ -56,7 +56,7 @@
         on_connect: Callable[[peer_link.PeerLink], None],
     ) -> None:
         self._name = name
-        self._power = power
+        self._cores = cores
         self._membership = membership
         self._feed = feed
         self._log = log
@@ -80,18 +80,18 @@
     def update(self) -> None:
         """Recompute candidates from the membership and connect to them."""
         members = self._membership.member_by_name
-        power_by_router = {
-            name: member.power
+        cores_by_router = {
+            name: member.cores
             for name, member in members.items()
             if self._stopping_position_by_name.get(name) != member.position
         }
-        power_by_router[self._name] = self._power
+        cores_by_router[self._name] = self._cores
         wanted: set[str] = set()
         for service in self._services:
-            order = hosts.order_hosts(service, power_by_router)
+            order = hosts.order_hosts(service, cores_by_router)
             self._candidates_by_service[service] = order[:_CANDIDATE_COUNT]
             wanted.update(order[:_CANDIDATE_COUNT])
-        order = hosts.order_hosts(_STORE_ORDER_KEY, power_by_router)
+        order = hosts.order_hosts(_STORE_ORDER_KEY, cores_by_router)
         self._feed_sources = relay_tree.find_sources(order, self._name)
         wanted.update(self._feed_sources)
         wanted.discard(self._name)
--- a/packages/daisypick_router/src/daisypick_router/membership.py
+++ b/packages/daisypick_router/src/daisypick_router/membership.py
@@ -47,14 +47,14 @@
     Attributes:
         name: Name of its VM.
         address: Address at which other routers reach it.
-        power: Cores that its process may use.
+        cores: CPU cores that its process may use.
         changed_at: When its entry last changed, by the local clock.
         position: When its entry last changed, in the store's history.
     """
 
     name: str
     address: tuple[str, int]
-    power: float
+    cores: float
     changed_at: float
     position: positions.Position
 
@@ -70,7 +70,7 @@
         rng: random.Random,
         name: str,
         address: tuple[str, int],
-        power: float,
+        cores: float,
         on_change: Callable[[], None],
     ) -> None:
         self._store = store
@@ -78,7 +78,7 @@
         self._rng = rng
         self._name = name
         self._address = address
-        self._power = power
+        self._cores = cores
         self._on_change = on_change
         self._has_list = False
         self._renewals = 0
@@ -141,7 +141,7 @@
         self._renewals += 1
         spec = {
             "address": f"{self._address[0]}:{self._address[1]}",
-            "power": self._power,
+            "power": self._cores,
             "renewals": self._renewals,
         }
         written = self._store.replace(KIND, self._name, spec)
@@ -189,7 +189,7 @@
         try:
             ip, _, port = stored.spec["address"].rpartition(":")
             address = (ip, int(port))
-            power = float(stored.spec.get("power", 1.0))
+            cores = float(stored.spec.get("power", 1.0))
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             self._log.write(
                 "members",
@@ -201,7 +201,7 @@
         self.member_by_name[stored.name] = Member(
             name=stored.name,
             address=address,
-            power=power,
+            cores=cores,
             changed_at=time.monotonic(),
             position=self._find_position(stored),
         )
--- a/packages/daisypick_router/src/daisypick_router/placing.py
+++ b/packages/daisypick_router/src/daisypick_router/placing.py
@@ -57,7 +57,7 @@
         self,
         *,
         name: str,
-        power: float,
+        cores: float,
         membership: memberships.Membership,
         hosted: engine_schedulers.EngineSchedulers,
         feed: store_feed.StoreFeed,
@@ -71,7 +71,7 @@
         self._hosted = hosted
         self.links = host_links.HostLinks(
             name=name,
-            power=power,
+            cores=cores,
             membership=membership,
             feed=feed,
             log=log,
--- a/packages/daisypick_router/src/daisypick_router/process.py
+++ b/packages/daisypick_router/src/daisypick_router/process.py
@@ -99,7 +99,7 @@
             rng=rng,
             name=settings.name,
             address=(settings.ip, settings.peer_port),
-            power=settings.processor,
+            cores=settings.processor,
             on_change=self._update_members,
         )
         outcomes = outcome_records.Outcomes()
@@ -123,7 +123,7 @@
         )
         self.placing = placings.Placing(
             name=settings.name,
-            power=settings.processor,
+            cores=settings.processor,
             membership=self.membership,
             hosted=self.hosted,
             feed=self._feed,
