--- a/packages/daisypick_router/src/daisypick_router/context.py
+++ b/packages/daisypick_router/src/daisypick_router/context.py
@@ -50,7 +50,7 @@
         self,
         *,
         request: messages.Request,
-        caller_headers: request_headers.CallerWords,
+        caller_headers: request_headers.CallerHeaders,
         route: route_table.Route,
         organisation: str | None,
         service: fleet_configuration.Service,
--- a/packages/daisypick_router/src/daisypick_router/engine_handler.py
+++ b/packages/daisypick_router/src/daisypick_router/engine_handler.py
@@ -352,7 +352,7 @@
         )
 
 
-def _find_output_tokens(caller_headers: request_headers.CallerWords) -> int:
+def _find_output_tokens(caller_headers: request_headers.CallerHeaders) -> int:
     """Return the expected number of output tokens of a request."""
     expected = caller_headers.expected_tokens
     if not expected:
--- a/packages/daisypick_router/src/daisypick_router/exchange.py
+++ b/packages/daisypick_router/src/daisypick_router/exchange.py
@@ -190,7 +190,7 @@
 
 def _classify_response(
     connection: connections.Connection,
-    server_headers: request_headers.ServerWords,
+    server_headers: request_headers.ServerHeaders,
     deadline: float,
 ) -> Outcome:
     head = connection.reader.head
