--- a/packages/daisypick_router/src/daisypick_router/context.py
+++ b/packages/daisypick_router/src/daisypick_router/context.py
@@ -65,8 +65,8 @@
         self.attempt = caller_headers.attempt
         self.objective_at = request.began_at + route.objective
         timeout = route.timeout
-        if caller_headers.patience is not None:
-            timeout = min(timeout, caller_headers.patience)
+        if caller_headers.timeout is not None:
+            timeout = min(timeout, caller_headers.timeout)
         self.deadline = request.began_at + timeout
         self.tried_servers: set[str] = set()
         self.servers_reached = 0
