--- a/packages/daisypick_router/src/daisypick_router/exchange.py
+++ b/packages/daisypick_router/src/daisypick_router/exchange.py
@@ -125,7 +125,7 @@
         method=request.method,
         target=request.target,
         headers=request_headers.write_for_server(
-            request_headers.keep_for_server(request.headers),
+            request_headers.filter_for_server(request.headers),
             seconds_left=context.deadline - now,
             server=server.name,
             organisation=context.organisation,
--- a/packages/daisypick_router/src/daisypick_router/intake.py
+++ b/packages/daisypick_router/src/daisypick_router/intake.py
@@ -59,7 +59,7 @@
         ):
             self._start_handler(handler)
             return
-        api_key = request_headers.find_key(request.headers)
+        api_key = request_headers.find_api_key(request.headers)
         queue = self._queue_by_key.setdefault(api_key, collections.deque())
         queue.append(
             _QueuedRequest(handler=handler, queued_at=time.monotonic())
