--- a/packages/daisypick_router/src/daisypick_router/discovery.py
+++ b/packages/daisypick_router/src/daisypick_router/discovery.py
@@ -52,7 +52,7 @@
         self.configuration: fleet_configuration.FleetConfiguration | None = None
         self.directory = directories.Directory()
         self._hold = restore_hold.RestoreHold()
-        store.eras.on_rise(self._begin_hold)
+        store.eras.on_new_era(self._begin_hold)
         self.has_server_list = False
         self._is_store_unreachable = False
         self._unreadable: set[str] = set()
--- a/packages/daisypick_router/src/daisypick_router/membership.py
+++ b/packages/daisypick_router/src/daisypick_router/membership.py
@@ -85,7 +85,7 @@
         # Set when the store may have lost the entry of this router.
         self._renewal_due = event.Event()
         self._restore_grace_until = 0.0
-        store.eras.on_rise(self._handle_restore)
+        store.eras.on_new_era(self._handle_restore)
         self.member_by_name: dict[str, Member] = {}
 
     @property
--- a/packages/daisypick_router/src/daisypick_router/process.py
+++ b/packages/daisypick_router/src/daisypick_router/process.py
@@ -67,7 +67,7 @@
         self.settings = settings
         self.log = logs.Log(process=settings.name)
         self.metrics = metric_numbers.Metrics()
-        eras = positions.Eras()
+        eras = positions.EraTracker()
         store = stores.StoreClient(address=settings.store_address, eras=eras)
         self.store = store
         self._pool = pools.Pool(connect_timeout=_CONNECT_SECONDS)
--- a/packages/daisypick_router/src/daisypick_router/store_feed.py
+++ b/packages/daisypick_router/src/daisypick_router/store_feed.py
@@ -68,12 +68,12 @@
         *,
         find_lag: Callable[[], float],
         origin: str,
-        eras: positions.Eras | None = None,
+        eras: positions.EraTracker | None = None,
     ) -> None:
         self._find_lag = find_lag
         self._origin = origin
-        self._eras = eras or positions.Eras()
-        self._eras.on_rise(self._begin_era)
+        self._eras = eras or positions.EraTracker()
+        self._eras.on_new_era(self._begin_era)
         self._published = 0
         self._last_number_by_origin: dict[str, int] = {}
         self.is_following = False
--- a/packages/daisypick_router/tests/test_store_feed.py
+++ b/packages/daisypick_router/tests/test_store_feed.py
@@ -228,7 +228,7 @@
 
 def test_new_era_is_forwarded_to_followers_at_once():
     """Guards against followers that trust confirmations of an old era."""
-    eras = positions.Eras()
+    eras = positions.EraTracker()
     feed = store_feed.StoreFeed(find_lag=lambda: 0.0, origin="r-1/1", eras=eras)
     below = _make_feed(origin="r-2/1")
     feed.add_follower(_Channel(below))
