--- a/packages/daisypick_router/src/daisypick_router/discovery.py
+++ b/packages/daisypick_router/src/daisypick_router/discovery.py
@@ -41,7 +41,7 @@
         log: logs.Log,
         rng: random.Random,
         on_servers: Callable[[Collection[str] | None], None],
-        feed: watch.Feed | None = None,
+        feed: watch.ChangeFeed | None = None,
     ) -> None:
         self._store = store
         self._log = log
@@ -85,7 +85,7 @@
             kind=kind,
             on_list=on_list,
             on_changes=on_changes,
-            on_contact=self._note_contact,
+            on_result=self._note_contact,
             outage=self._outage,
             rng=self._rng,
             feed=self._feed,
