--- a/packages/daisypick_router/src/daisypick_router/discovery.py
+++ b/packages/daisypick_router/src/daisypick_router/discovery.py
@@ -68,7 +68,7 @@
             entries.KIND, self._apply_server_list, self._apply_server_changes
         )
         self._follow(
-            entries.OUT_KIND,
+            entries.EVACUATIONS_KIND,
             self._apply_evacuation_list,
             self._apply_evacuation_changes,
         )
