--- a/packages/daisypick_router/src/daisypick_router/process.py
+++ b/packages/daisypick_router/src/daisypick_router/process.py
@@ -20,8 +20,8 @@
 from daisypick_http import messages
 from daisypick_http import pool as pools
 from daisypick_http import server as http_server
-from daisypick_platform import calls
 from daisypick_platform import position as positions
+from daisypick_platform import probes
 from daisypick_platform import settings as platform_settings
 from daisypick_platform import store as stores
 from daisypick_router import discovery as discoveries
@@ -288,7 +288,7 @@
         request: messages.Request,
     ) -> None:
         path = request.target.partition(b"?")[0]
-        if path == calls.READY_TARGET:
+        if path == probes.READY_TARGET:
             status = 200 if self.is_ready else 503
             connection.send_whole(status=status, headers=(), body=b"")
         elif path == _METRICS_TARGET:
