--- a/packages/daisypick_router/tests/fakes.py
+++ b/packages/daisypick_router/tests/fakes.py
@@ -20,7 +20,7 @@
 
 from daisypick_platform import settings as platform_settings
 from daisypick_router import process
-from daisypick_soak import http_words
+from daisypick_soak import http_messages
 
 HOST = "plots.example"
 KEY = "key-of-farm"
@@ -49,7 +49,7 @@
     return first, headers, body
 
 
-write_answer = http_words.write_answer
+write_answer = http_messages.write_response
 
 
 class FakeStore:
@@ -464,8 +464,8 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-Answer = http_words.Answer
-read_answer = http_words.read_answer
+Answer = http_messages.Response
+read_answer = http_messages.read_response
 
 
 def call(router: process.RouterProcess, path: str, **options: str) -> Answer:
