--- a/packages/daisypick_lab/src/daisypick_lab/embedded.py
+++ b/packages/daisypick_lab/src/daisypick_lab/embedded.py
@@ -193,7 +193,9 @@
 
     def falls(self) -> int:
         """Return how often a cold engine got more than it bears."""
-        return sum(engine.batch.fall_count for engine in self.engines.values())
+        return sum(
+            engine.batch.overload_count for engine in self.engines.values()
+        )
 
     def restart_engines(self, data_centre: str) -> None:
         """Start the engines of a data centre anew, with new boot ids."""
--- a/packages/daisypick_standins/src/daisypick_standins/engine/batch.py
+++ b/packages/daisypick_standins/src/daisypick_standins/engine/batch.py
@@ -97,7 +97,7 @@
         self.busy_slot_seconds = 0.0
         self.max_running = 0
         self.cancelled_count = 0
-        self.fall_count = 0
+        self.overload_count = 0
 
     def load(self) -> Load:
         """Return the current load."""
@@ -116,7 +116,7 @@
         """Queue a request; ``False`` if beyond the cold-start capacity."""
         count = len(self._running) + len(self._waiting) + 1
         if self.warmth.is_cold(now) and count > self.warmth.capacity(now):
-            self.fall_count += 1
+            self.overload_count += 1
             if self._settings.cold_failure == engine_settings.CRASH:
                 self.crash(now)
             return False
--- a/packages/daisypick_standins/tests/engine/test_batch.py
+++ b/packages/daisypick_standins/tests/engine/test_batch.py
@@ -59,7 +59,7 @@
     assert not subject.submit(_make(), 0.0)
     assert first.outcome == engine_batch.FAILED
     assert subject.warmth.boot_id != boot_id
-    assert subject.fall_count == 1
+    assert subject.overload_count == 1
     assert not subject.is_up(4.9)
     assert subject.is_up(5.0)
     tolerant = _make_batch(cold_slots=1, cold_failure=engine_settings.ERROR)
