--- a/packages/daisypick_lab/src/daisypick_lab/embedded.py
+++ b/packages/daisypick_lab/src/daisypick_lab/embedded.py
@@ -201,7 +201,7 @@
         """Start the engines of a data centre anew, with new boot ids."""
         for name, engine in self.engines.items():
             if self.data_centre_by_server[name] == data_centre:
-                engine.batch.warmth.restart(time.monotonic())
+                engine.batch.cold_start.restart(time.monotonic())
 
     def control_bytes(self) -> int:
         """Return the bytes of control among processes and to the platform."""
--- a/packages/daisypick_standins/src/daisypick_standins/engine/batch.py
+++ b/packages/daisypick_standins/src/daisypick_standins/engine/batch.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable
 import typing
 
+from daisypick_standins.engine import cold_start as engine_cold_start
 from daisypick_standins.engine import prefix_cache
 from daisypick_standins.engine import settings as engine_settings
 from daisypick_standins.engine import text
-from daisypick_standins.engine import warmth as engine_warmth
 
 DONE = "done"
 FAILED = "failed"
@@ -82,7 +82,9 @@
         self, *, settings: engine_settings.EngineSettings, now: float
     ) -> None:
         self._settings = settings
-        self.warmth = engine_warmth.Warmth(settings=settings, now=now)
+        self.cold_start = engine_cold_start.ColdStart(
+            settings=settings, now=now
+        )
         self.cache = prefix_cache.PrefixCache(
             capacity=settings.cache_tokens,
             lag=settings.event_lag,
@@ -115,7 +117,9 @@
     def submit(self, generation: Generation, now: float) -> bool:
         """Queue a request; ``False`` if beyond the cold-start capacity."""
         count = len(self._running) + len(self._waiting) + 1
-        if self.warmth.is_cold(now) and count > self.warmth.capacity(now):
+        if self.cold_start.is_cold(now) and count > self.cold_start.capacity(
+            now
+        ):
             self.overload_count += 1
             if self._settings.cold_failure == engine_settings.CRASH:
                 self.crash(now)
@@ -139,7 +143,7 @@
         failed = [*self._running, *self._waiting]
         self._running.clear()
         self._waiting.clear()
-        self.warmth.restart(now)
+        self.cold_start.restart(now)
         self.cache.clear(now)
         self._down_until = now + self._settings.restart_seconds
         for generation in failed:
@@ -164,7 +168,7 @@
                 prefill -= read
             if generation.prefill_left <= 0:
                 generation.advance()
-                self.warmth.serve(1)
+                self.cold_start.serve(1)
         self._running = [g for g in self._running if not g.outcome]
 
     def _admit(self, now: float) -> None:
@@ -181,6 +185,6 @@
     def _step_seconds(self, now: float) -> float:
         fullness = len(self._running) / self._settings.slots
         slowdown = 1.0 + (self._settings.full_slowdown - 1.0) * fullness
-        if self.warmth.is_cold(now):
+        if self.cold_start.is_cold(now):
             slowdown *= self._settings.cold_slowdown
         return self._settings.token_interval * slowdown
--- a/packages/daisypick_standins/src/daisypick_standins/engine/warmth.py
+++ b/packages/daisypick_standins/src/daisypick_standins/engine/cold_start.py
@@ -6,7 +6,7 @@
 
 Examples:
     >>> from daisypick_standins.engine import settings
-    >>> cold = Warmth(settings=settings.EngineSettings(warm_tokens=60))
+    >>> cold = ColdStart(settings=settings.EngineSettings(warm_tokens=60))
     >>> cold.capacity(0.0), cold.is_cold(0.0)
     (2, True)
     >>> cold.serve(30); cold.capacity(0.0)
@@ -20,7 +20,7 @@
 from daisypick_standins.engine import settings as engine_settings
 
 
-class Warmth:
+class ColdStart:
     """The state of the cold start."""
 
     def __init__(
--- a/packages/daisypick_standins/src/daisypick_standins/engine/server.py
+++ b/packages/daisypick_standins/src/daisypick_standins/engine/server.py
@@ -82,7 +82,7 @@
         if faults.crash:
             self.batch.crash(self._clock())
         if faults.turn_cold:
-            self.batch.warmth.turn_cold(self._clock())
+            self.batch.cold_start.turn_cold(self._clock())
 
     def _routes(self) -> web.Routes:
         routes = web.Routes()
@@ -309,7 +309,7 @@
     def _add_id_headers(
         self, response: web.Response, completion_id: str = ""
     ) -> web.Response:
-        id_headers = [("X-Boot-Id", self.batch.warmth.boot_id)]
+        id_headers = [("X-Boot-Id", self.batch.cold_start.boot_id)]
         if completion_id:
             id_headers.append(("X-Request-Id", completion_id))
         return response._replace(headers=[*response.headers, *id_headers])
--- a/packages/daisypick_standins/tests/engine/test_batch.py
+++ b/packages/daisypick_standins/tests/engine/test_batch.py
@@ -22,7 +22,7 @@
 
 def test_batch_shares_steps_and_queues_beyond_its_slots():
     subject = _make_batch(slots=2, cold_slots=2, warm_tokens=1)
-    subject.warmth.serve(1)
+    subject.cold_start.serve(1)
     generations = [_make() for _ in range(3)]
     assert all(subject.submit(g, 0.0) for g in generations)
     assert subject.begin_step(0.0) == 1.5
@@ -53,12 +53,12 @@
 
 def test_overload_in_the_cold_start_fails_all_requests():
     subject = _make_batch(cold_slots=1, restart_seconds=5.0)
-    boot_id = subject.warmth.boot_id
+    boot_id = subject.cold_start.boot_id
     first = _make()
     assert subject.submit(first, 0.0)
     assert not subject.submit(_make(), 0.0)
     assert first.outcome == engine_batch.FAILED
-    assert subject.warmth.boot_id != boot_id
+    assert subject.cold_start.boot_id != boot_id
     assert subject.overload_count == 1
     assert not subject.is_up(4.9)
     assert subject.is_up(5.0)
@@ -70,7 +70,7 @@
 
 def test_cancelled_generation_frees_its_slot():
     subject = _make_batch(slots=1, cold_slots=1, warm_tokens=1)
-    subject.warmth.serve(1)
+    subject.cold_start.serve(1)
     first, second = _make(), _make()
     subject.submit(first, 0.0)
     subject.submit(second, 0.0)
--- a/packages/daisypick_standins/tests/engine/test_server.py
+++ b/packages/daisypick_standins/tests/engine/test_server.py
@@ -57,7 +57,7 @@
     content = body["choices"][0]["message"]["content"]
     assert text.check(content, "m1") == ""
     assert body["usage"]["completion_tokens"] == 8
-    assert response["x-boot-id"] == engine.batch.warmth.boot_id
+    assert response["x-boot-id"] == engine.batch.cold_start.boot_id
     assert response["x-request-id"] == "r1"
     assert engine.batch.runs_by_marker == {"m1": 1}
 
