--- a/packages/daisypick_core/src/daisypick_core/gate/__init__.py
+++ b/packages/daisypick_core/src/daisypick_core/gate/__init__.py
@@ -1,17 +1,18 @@
-"""The agent's decisions about its one backend server.
+"""Admission control of an agent for its one backend server.
 
-Nothing reaches the backend server except through its gate, so every promise
-about one server is decided here, in one place that sees everything.
+Every request to the backend server passes its gate. All guarantees about one
+server are therefore enforced here, where its complete state is known.
 
 * ``gate``: the gate itself, which composes the parts below.
-* ``actions``: what the gate asks its driver to do.
+* ``actions``: the actions that the gate requests from its driver.
 * ``attempts``: which attempts are known, running, settled or barred.
-* ``concurrency``: how many attempts may run at once, cold or warm.
+* ``concurrency``: the concurrency limit, including the cold start ramp.
 * ``first_token``: the baseline of the time to first token.
 * ``running``: the attempts that hold a slot.
-* ``waiting``: the attempts that wait, and their bounds.
-* ``idle_peers``: sending waiting work to agents that are idle.
-* ``admission``: whether anything new may start (draining).
-* ``offer_check``: why an attempt that arrives is refused.
-* ``drain_state``: why a gate drains, from the configuration and the VM.
+* ``waiting``: the bounded queues of waiting attempts.
+* ``idle_peers``: redirecting waiting attempts to idle agents.
+* ``admission``: whether new attempts may start (draining).
+* ``offer_check``: the checks on an attempt that arrives.
+* ``drain_state``: the reasons for draining, derived from the configuration
+  and the VM.
 """
--- a/packages/daisypick_core/src/daisypick_core/gate/actions.py
+++ b/packages/daisypick_core/src/daisypick_core/gate/actions.py
@@ -1,7 +1,7 @@
-"""What the gate asks its driver to do.
+"""Actions that the gate requests from its driver.
 
-The driver carries actions out in order. It reports what came of them with
-the matching event: ``Start`` by ``progress`` and ``finish``, ``Claim`` by
+The driver performs actions in order and reports their results with the
+matching event: ``Start`` by ``progress`` and ``finish``, ``Claim`` by
 ``claim_settled``.
 """
 
@@ -19,19 +19,19 @@
 
 
 class Claim(typing.NamedTuple):
-    """Claim the attempt's idempotency key in the store, then report."""
+    """Claim the attempt's idempotency key in the store, report the result."""
 
     attempt: attempt_message.Attempt
 
 
 class Refuse(typing.NamedTuple):
-    """Answer the attempt with a failure; it never starts.
+    """Respond to the attempt with a failure; it never starts.
 
     Attributes:
         attempt: The attempt, barred from now on.
-        failure: Why.
+        failure: The reason.
         release_claim: Whether the store holds a granted claim of this
-            attempt, which the driver gives back as "not run".
+            attempt, which the driver releases as "not run".
     """
 
     attempt: attempt_message.Attempt
@@ -46,12 +46,12 @@
 
 
 class Hint(typing.NamedTuple):
-    """Tell the router of a waiting attempt of an idle agent.
+    """Notify the router of a waiting attempt that another agent is idle.
 
     Attributes:
         attempt: The attempt that waits here.
         agent: Address of the idle agent.
-        load: What that agent said of itself.
+        load: The load that the idle agent reported.
     """
 
     attempt: attempt_message.Attempt
--- a/packages/daisypick_core/src/daisypick_core/gate/admission.py
+++ b/packages/daisypick_core/src/daisypick_core/gate/admission.py
@@ -1,9 +1,9 @@
-"""Whether anything new may start at the gate.
+"""Whether new attempts may start at the gate.
 
-A data centre that is out, a VM that leaves and a graceful shutdown are one
-state, *draining*, with several reasons; the gate opens again only when no
-reason is left. Reasons that come from the configuration carry its
-generation, and an older generation never undoes a newer one.
+A data centre that is out of service, a VM that leaves and a graceful shutdown
+share one state, *draining*, with one reason each. The gate opens again only
+when no reason is left. Reasons that come from the configuration carry its
+generation, and an older generation never overrides a newer one.
 
 Examples:
     >>> admission = Admission()
@@ -27,7 +27,7 @@
 
 
 class Admission:
-    """The set of reasons why nothing new starts."""
+    """The set of reasons for which no new attempt starts."""
 
     def __init__(self) -> None:
         self._reasons: set[str] = set()
@@ -40,14 +40,14 @@
 
     @property
     def reasons(self) -> tuple[str, ...]:
-        """Why nothing starts, sorted."""
+        """The current reasons, sorted."""
         return tuple(sorted(self._reasons))
 
     def close(self, reason: str, generation: int | None = None) -> bool:
         """Add a reason; return whether the gate has just closed.
 
-        ``generation`` is that of the configuration that says so, ``None``
-        for a reason of the process's own.
+        ``generation`` is that of the configuration that gives the reason,
+        ``None`` for a reason that arises within the process.
         """
         if self._is_outdated(reason, generation):
             return False
@@ -56,7 +56,7 @@
         return was_open
 
     def open(self, reason: str, generation: int | None = None) -> bool:
-        """Take a reason back; return whether the gate has just opened."""
+        """Remove a reason; return whether the gate has just opened."""
         if self._is_outdated(reason, generation):
             return False
         was_open = self.is_open
@@ -64,9 +64,10 @@
         return self.is_open and not was_open
 
     def _is_outdated(self, reason: str, generation: int | None) -> bool:
-        # "out" and "in" can arrive crossed, from different peers. Without
-        # the check a late "in" of generation 7 would reopen a gate that 8
-        # has closed, and work would start in a data centre that is out.
+        # Configurations from different peers can arrive out of order. Without
+        # this check a late "in" of generation 7 would reopen a gate that
+        # generation 8 has closed, and attempts would start in a data centre
+        # that is out of service.
         if generation is None:
             return False
         if generation < self._generation_by_reason.get(reason, 0):
--- a/packages/daisypick_core/src/daisypick_core/gate/attempts.py
+++ b/packages/daisypick_core/src/daisypick_core/gate/attempts.py
@@ -1,22 +1,23 @@
-"""Which attempts the gate knows, and which can never start.
+"""States of the attempts that the gate knows.
 
 An attempt goes ``WAITING`` -> ``CLAIMING`` -> ``RUNNING`` -> ``DONE``, or
-ends as ``BARRED`` without having started. ``BARRED`` is what makes "not run"
-true: an attempt that was refused or withdrawn can arrive again, late or
-doubled, and must not start then.
-
-Memory is bounded, so settled attempts are forgotten some time. Forgetting
-alone would be unsound: the late offer of a forgotten attempt looks new. So
-the life of an incarnation is divided into *epochs*. An attempt carries the
-epoch that its router last heard. Offers of an epoch older than
-``EPOCHS_OPEN`` are refused whatever the table says, and a settled attempt is
-forgotten only after every offer of it is refused for its age. A table that
-fills up early begins its next epoch early: that costs retries, never a run.
+ends as ``BARRED`` without having started. ``BARRED`` guarantees "not run": an
+attempt that was refused or withdrawn can arrive again, delayed or duplicated,
+and must not start then.
+
+Memory is bounded, so settled attempts are eventually removed. Removal alone
+would be unsound, because a late offer of a removed attempt looks new. The
+lifetime of an incarnation is therefore divided into *epochs*. An attempt
+carries the latest epoch that its router knew. Offers that are more than
+``MAX_EPOCH_AGE`` epochs old are refused whatever the table holds, and a settled
+attempt is removed only once every offer of it is refused as stale. A table
+that fills up begins its next epoch early, which costs retries but never runs
+an attempt twice.
 
 Examples:
     >>> table = AttemptTable()
     >>> table.set_state("a", BARRED)
-    >>> for _ in range(EPOCHS_OPEN + 1):
+    >>> for _ in range(MAX_EPOCH_AGE + 1):
     ...     table.begin_epoch()
     >>> table.state("a"), table.is_stale(0), table.is_stale(1)
     (None, True, False)
@@ -36,13 +37,13 @@
 _SETTLED = frozenset({DONE, BARRED})
 
 EPOCH_SECONDS = 60.0
-EPOCHS_OPEN = 2
-# A claimed attempt is asked about for as long as its key is remembered.
-EPOCHS_CLAIMED = 90
+MAX_EPOCH_AGE = 2
+# Other agents may query a claimed attempt for as long as its key is stored.
+CLAIMED_RETENTION_EPOCHS = 90
 
 
 class AttemptTable:
-    """States of attempts by id; settled ones are kept for some epochs.
+    """States of attempts by id; settled ones are kept for several epochs.
 
     Attributes:
         epoch: Number of the current epoch, from 0.
@@ -70,14 +71,17 @@
         return self._state_by_id.get(attempt_id)
 
     def is_stale(self, epoch: int) -> bool:
-        """Tell whether an attempt of that epoch can no longer be told."""
-        return not self.epoch - EPOCHS_OPEN <= epoch <= self.epoch
+        """Return whether attempts of that epoch may have been removed.
+
+        A future epoch counts as stale, too.
+        """
+        return not self.epoch - MAX_EPOCH_AGE <= epoch <= self.epoch
 
     def set_state(self, attempt_id: str, state: str) -> None:
         """Move an attempt to a state.
 
         Raises:
-            ValueError: The attempt is settled and ``state`` would revive it.
+            ValueError: The attempt is settled in a state other than ``state``.
         """
         current = self._state_by_id.get(attempt_id)
         if current in _SETTLED and state != current:
@@ -89,10 +93,10 @@
             self._settle(attempt_id)
 
     def advance(self, now: float) -> None:
-        """Begin the next epoch when the current one has lasted its time.
+        """Begin the next epoch when the current one has reached its duration.
 
-        A process that was paused for long begins one epoch, not many: its
-        memory lasts longer then, which is safe.
+        A process that was paused for several epochs begins only one. Settled
+        attempts are then kept longer, which is safe.
         """
         if self._epoch_ends_at is None:
             self._epoch_ends_at = now + EPOCH_SECONDS
@@ -101,37 +105,37 @@
             self._epoch_ends_at = now + EPOCH_SECONDS
 
     def begin_epoch(self) -> None:
-        """Begin the next epoch, forget what no offer can revive."""
+        """Begin the next epoch and remove attempts whose offers are stale."""
         self.epoch += 1
         self._settled_by_epoch[self.epoch] = []
-        # Settled in epoch b, the attempt carries an epoch of at most b. Its
-        # offers are stale from b + EPOCHS_OPEN + 1 on, so it goes only now.
-        oldest = self.epoch - EPOCHS_OPEN - 1
+        # An attempt settled in epoch b carries an epoch of at most b. Its
+        # offers are stale from b + EPOCHS_OPEN + 1 on, so it can be removed.
+        oldest = self.epoch - MAX_EPOCH_AGE - 1
         for attempt_id in self._settled_by_epoch.pop(oldest, ()):
             self._state_by_id.pop(attempt_id, None)
-        self._forget_claimed(self.epoch - EPOCHS_CLAIMED)
+        self._drop_claimed(self.epoch - CLAIMED_RETENTION_EPOCHS)
 
     def _settle(self, attempt_id: str) -> None:
         if attempt_id in self._claimed_ids:
             self._claimed_by_epoch.append((self.epoch, attempt_id))
-            self._forget_surplus_claimed()
+            self._drop_excess_claimed()
             return
         settled = self._settled_by_epoch[self.epoch]
         settled.append(attempt_id)
         if len(settled) >= self._settled_an_epoch:
             self.begin_epoch()
 
-    def _forget_surplus_claimed(self) -> None:
+    def _drop_excess_claimed(self) -> None:
         if len(self._claimed_by_epoch) <= self._settled_an_epoch:
             return
         epoch, attempt_id = self._claimed_by_epoch[0]
         while not self.is_stale(epoch):
             self.begin_epoch()
         if attempt_id in self._claimed_ids:
-            self._forget_claimed(epoch)
+            self._drop_claimed(epoch)
 
-    def _forget_claimed(self, epoch: int) -> None:
-        """Forget the claimed attempts settled in that epoch or before."""
+    def _drop_claimed(self, epoch: int) -> None:
+        """Remove the claimed attempts settled in that epoch or before."""
         claimed = self._claimed_by_epoch
         while claimed and claimed[0][0] <= epoch:
             _, attempt_id = claimed.popleft()
@@ -140,11 +144,11 @@
 
 
 class AttemptStatus(typing.NamedTuple):
-    """Answer to "what became of attempt A?".
+    """Response to a status query about an attempt.
 
     Attributes:
         state: One of the states of this module; ``FORGOTTEN`` if the
-            attempt is too old for the table to tell, ``GONE`` if it was
+            attempt is unknown and its epoch is stale, ``GONE`` if it was
             addressed to another incarnation of the agent.
         ran: ``False`` only if it has not started and never will; ``True``
             if it has started, may still start, or may have run.
--- a/packages/daisypick_core/src/daisypick_core/gate/concurrency.py
+++ b/packages/daisypick_core/src/daisypick_core/gate/concurrency.py
@@ -1,19 +1,21 @@
-"""How many attempts may run at once at the backend server.
-
-A server in its cold start bears little and falls over under full load, and
-it may turn cold again without a word. The limit believes only what it sees:
-
-* It starts at ``cold_slots`` and rises by one for each healthy answer of 64
-  tokens, or for as many shorter ones as make 64, as long as the time to first
-  token keeps up with its baseline.
-* A new boot id means a cold server: back to ``cold_slots`` at once.
-* One leap of the time to first token, or one error, is a *suspicion*. After
-  a leap only ``cold_slots`` attempts may be without a first token at once;
-  after an error only ``cold_slots`` may run. Good news clears it: a long
-  prompt or one bad request costs next to nothing.
-* A second one without good news in between confirms it: the server is cold.
-* Each confirmed failure doubles the tokens that a raise then takes,
-  so that a server that keeps falling over is not pushed over again and again.
+"""Adaptive limit on concurrent attempts at the backend server.
+
+A server in its cold start can handle little load and crashes under full load,
+and it may become cold again without notice. The limit therefore adapts to
+observed behaviour only:
+
+* It starts at ``cold_slots`` and increases by one for each healthy response
+  of 64 tokens, or for shorter ones with 64 tokens in total, as long as the
+  time to first token stays close to its baseline.
+* A new boot id means a cold server: the limit returns to ``cold_slots``.
+* One outlier of the time to first token, or one error, makes the server
+  *suspicious*. After an outlier only ``cold_slots`` attempts may be without a
+  first token at once; after an error only ``cold_slots`` may run. A normal
+  first token clears either, a healthy response clears an error, so that a
+  long prompt or a single bad request costs almost no capacity.
+* A second sign before the first is cleared confirms that the server is cold.
+* Each confirmation doubles the number of tokens that an increase requires, so
+  that a server which crashes repeatedly is overloaded less and less often.
 
 Examples:
     >>> limit = ConcurrencyLimit(slots=3, cold_slots=1)
@@ -28,32 +30,33 @@
 
 from daisypick_core.gate import first_token
 
-_MOST_PATIENCE = 16
-# Tokens in healthy answers that a raise takes. A server warms by what it
-# serves, not by how many answers that makes: with a raise an answer, short
-# answers of 20 tokens drove the limit of a server that needs 64 for each
-# further slot beyond what it bore, and it fell over with nothing to see before.
-_TOKENS_A_RAISE = 64.0
+_MAX_BACKOFF = 16
+# Tokens in healthy responses that an increase requires. A server warms up by
+# the tokens it serves, whatever the number of responses: with one increase per
+# response, short responses of 20 tokens drove the limit of a server that needs
+# 64 tokens per further slot beyond its capacity, and it crashed without any
+# sign in its latency.
+_TOKENS_PER_INCREASE = 64.0
 
 
 class ConcurrencyLimit:
-    """A limit between ``cold_slots`` and ``slots`` that trusts evidence."""
+    """An adaptive limit between ``cold_slots`` and ``slots``."""
 
     def __init__(self, *, slots: int, cold_slots: int) -> None:
         self._boot_id = ""
         self._baseline = first_token.Baseline()
         self._limit = cold_slots
         self._restarted_at = float("-inf")
-        self._has_leapt = False
+        self._has_outlier = False
         self._limit_before_error: int | None = None
-        self._patience = 1
+        self._backoff = 1
         self._healthy_tokens = 0.0
         self._keeps_up = True
         self.set_slots(slots=slots, cold_slots=cold_slots)
 
     @property
     def limit(self) -> int:
-        """Attempts that may run at once."""
+        """Number of attempts that may run at once."""
         return self._limit
 
     @property
@@ -63,27 +66,27 @@
 
     @property
     def is_suspicious(self) -> bool:
-        """Whether one sign of a cold server awaits confirmation."""
-        return self._has_leapt or self._limit_before_error is not None
+        """Whether one sign of a cold server was seen and not cleared."""
+        return self._has_outlier or self._limit_before_error is not None
 
     @property
     def overdue_after(self) -> float | None:
-        """Seconds without a first token that count as a leap, if known."""
-        return self._baseline.leap_after
+        """Seconds without a first token that count as an outlier, if known."""
+        return self._baseline.outlier_after
 
     def allows(self, *, running: int, without_token: int) -> bool:
-        """Tell whether one more attempt may start.
+        """Return whether one more attempt may start.
 
         Args:
             running: Attempts that hold a slot.
-            without_token: Those of them that have shown no first token.
+            without_token: Those of them that have produced no first token.
         """
         if running >= self._limit:
             return False
-        return not self._has_leapt or without_token < self._cold_slots
+        return not self._has_outlier or without_token < self._cold_slots
 
     def set_slots(self, *, slots: int, cold_slots: int) -> None:
-        """Take the slots of a new configuration; what is known stays."""
+        """Set the slots of a new configuration and keep the learned state."""
         if not 1 <= cold_slots <= slots:
             raise ValueError(f"cold_slots: {cold_slots} is not in 1..{slots}")
         self._slots = slots
@@ -91,38 +94,38 @@
         self._limit = min(self._limit, slots)
 
     def boot_seen(self, boot_id: str) -> None:
-        """Note the boot id in an answer; a new one means a cold server."""
+        """Record the boot id of a response; a new one means a cold server."""
         if boot_id == self._boot_id:
             return
         self._boot_id = boot_id
         self.restart()
 
     def restart(self) -> None:
-        """Go back to the cold limit."""
+        """Return to the cold limit."""
         self._limit = self._cold_slots
-        self._has_leapt = False
+        self._has_outlier = False
         self._limit_before_error = None
         self._healthy_tokens = 0.0
         self._keeps_up = True
 
     def first_token(self, seconds: float, now: float) -> None:
-        """Note the time to first token of an attempt, seconds."""
-        is_leap = self._baseline.is_leap(seconds)
+        """Record the time to first token of an attempt, in seconds."""
+        is_outlier = self._baseline.is_outlier(seconds)
         self._keeps_up = self._baseline.keeps_up(seconds)
         self._baseline.learn(seconds, is_cold=self.is_cold)
-        if is_leap:
+        if is_outlier:
             self.overdue(now - seconds, now)
         else:
             self._clear()
 
     def overdue(self, started_at: float, now: float) -> None:
-        """Note an attempt whose first token should long have come."""
+        """Record an attempt whose first token is overdue."""
         if self._is_old(started_at):
             return
         if self.is_suspicious:
             self._confirm_cold(now)
         else:
-            self._has_leapt = True
+            self._has_outlier = True
 
     def finished(
         self,
@@ -130,19 +133,20 @@
         is_healthy: bool,
         started_at: float,
         now: float,
-        tokens: float = _TOKENS_A_RAISE,
+        tokens: float = _TOKENS_PER_INCREASE,
     ) -> None:
-        """Note the end of an attempt.
+        """Record the end of an attempt.
 
         Args:
-            is_healthy: Whether its answer was whole and no error.
-            started_at: When it started at the server.
-            now: The time.
-            tokens: What it cost; an answer without tokens counts in full.
+            is_healthy: Whether its response was complete and no error.
+            started_at: Time at which it started at the server, seconds.
+            now: Current time, seconds.
+            tokens: Its cost; a response without a token count counts as a
+                full increase.
         """
         if is_healthy:
             self._clear_error()
-            self._raise_limit(tokens)
+            self._increase_limit(tokens)
         elif not self._is_old(started_at):
             self._failed(now)
 
@@ -153,30 +157,31 @@
         self._limit_before_error = self._limit
         self._limit = self._cold_slots
 
-    def _raise_limit(self, tokens: float) -> None:
+    def _increase_limit(self, tokens: float) -> None:
         if self.is_suspicious or not self._keeps_up or not self.is_cold:
             return
-        self._healthy_tokens += min(tokens, _TOKENS_A_RAISE)
-        if self._healthy_tokens < _TOKENS_A_RAISE * self._patience:
+        self._healthy_tokens += min(tokens, _TOKENS_PER_INCREASE)
+        if self._healthy_tokens < _TOKENS_PER_INCREASE * self._backoff:
             return
         self._healthy_tokens = 0.0
         self._limit += 1
         if not self.is_cold:
-            self._patience = 1
+            self._backoff = 1
 
     def _is_old(self, started_at: float) -> bool:
-        # Eight attempts that break together are one event. Without this the
-        # last six would count as new failures of a server that has already
-        # been cut to its cold limit, and its ramp would take minutes.
+        # Attempts that fail together are one event. Otherwise, of eight that
+        # fail in a crash, the last six would count as new failures of a
+        # server already reduced to its cold limit, and its ramp would take
+        # minutes.
         return started_at < self._restarted_at
 
     def _confirm_cold(self, now: float) -> None:
         self._restarted_at = now
-        self._patience = min(_MOST_PATIENCE, 2 * self._patience)
+        self._backoff = min(_MAX_BACKOFF, 2 * self._backoff)
         self.restart()
 
     def _clear(self) -> None:
-        self._has_leapt = False
+        self._has_outlier = False
         self._clear_error()
 
     def _clear_error(self) -> None:
--- a/packages/daisypick_core/src/daisypick_core/gate/drain_state.py
+++ b/packages/daisypick_core/src/daisypick_core/gate/drain_state.py
@@ -1,11 +1,11 @@
-"""Whether a gate drains, derived from what its process knows.
+"""Drain state of a gate, derived from the local configuration and VM signals.
 
-The gate decides for itself, from the configuration in force at its process
-and from the signals of its own VM; nobody has to reach it with an order. The
-platform's list of VMs lags: it may add a reason and never takes one back.
+The gate decides locally, from the configuration in force at its process and
+from the signals of its own VM, so that no command has to reach it. The
+platform's list of VMs lags, so it may add a reason but never removes one.
 
 See Also:
-    ``daisypick_core.gate.admission``: how reasons add up.
+    ``daisypick_core.gate.admission``: how reasons are combined.
 """
 
 import typing
@@ -13,7 +13,7 @@
 from daisypick_core.configuration import model
 from daisypick_core.gate import admission
 
-# The reasons that a configuration gives and takes back.
+# The reasons that a configuration can add and remove.
 CONFIGURED_REASONS = (
     admission.DATA_CENTRE_OUT,
     admission.REMOVED,
@@ -22,7 +22,7 @@
 
 
 class DrainState(typing.NamedTuple):
-    """Why a gate drains, as one generation of the configuration has it.
+    """Reasons for draining under one generation of the configuration.
 
     Attributes:
         generation: Generation of that configuration.
@@ -45,8 +45,8 @@
     Args:
         configuration: The configuration in force at the process.
         backend_server: Name of the backend server behind the gate.
-        is_vm_leaving: Whether the platform or the VM itself has said that
-            the VM leaves.
+        is_vm_leaving: Whether the platform or the VM itself has announced
+            that the VM leaves.
 
     Examples:
         >>> sorted(derive(model.EMPTY, "desk-1").reasons)
@@ -62,9 +62,10 @@
     configuration: model.Configuration, backend_server: str
 ) -> frozenset[str]:
     if configuration.generation == 0:
-        # A process that restarts with nothing in memory while the store is
-        # down cannot know that its data centre is out. Open, it would start
-        # work there; closed, the work goes to those who know.
+        # A process that restarts without state while the store is down cannot
+        # know whether its data centre is out of service. An open gate would
+        # start attempts there; a closed one sends them to agents that have a
+        # configuration.
         return frozenset({admission.NOT_CONFIGURED})
     server = configuration.backend_servers_by_name.get(backend_server)
     if server is None:
--- a/packages/daisypick_core/src/daisypick_core/gate/gate.py
+++ b/packages/daisypick_core/src/daisypick_core/gate/gate.py
@@ -1,16 +1,16 @@
 """The gate of one backend server.
 
 Attempts of many organisations arrive from many routers. The gate keeps a
-short bounded queue an organisation, lets as many attempts run as the backend
-server bears, and gives a free slot to the organisation that the share order
-puts first. It withdraws, refuses and drains with true answers: what it
-reports as "not run" can never start later, because the attempt is barred.
+short bounded queue per organisation, runs as many attempts as the backend
+server can handle, and gives a free slot to the organisation that is first in
+the share order. When it withdraws, refuses or drains, its reports are
+reliable: an attempt reported as "not run" is barred and can never start.
 
 Every event takes ``now`` (seconds, any monotonic clock) and returns actions.
 
 See Also:
-    ``daisypick_core.gate.attempts``: what barred means.
-    ``daisypick_core.gate.drain_state``: why a gate drains.
+    ``daisypick_core.gate.attempts``: the meaning of barred.
+    ``daisypick_core.gate.drain_state``: the reasons for draining.
     ``daisypick_core.fairness``: how the share order is computed.
 """
 
@@ -33,16 +33,16 @@
     code=codes.DEADLINE_PASSED, reason="waited past its deadline"
 )
 
-# The rule refuses these offers each time they come, so they need no memory;
-# a flood of them must not fill the table and hasten its epochs.
-_REFUSED_BY_RULE = frozenset({codes.STALE_INCARNATION, codes.STALE_EPOCH})
+# These offers are refused whenever they arrive, so no state is stored for
+# them. A burst of them must not fill the table and shorten its epochs.
+_REFUSED_WITHOUT_STATE = frozenset({codes.STALE_INCARNATION, codes.STALE_EPOCH})
 
 
 GateLimits = waiting.GateLimits
 
 
 class Gate:
-    """Decides what reaches one backend server, and when."""
+    """Admission control of one backend server."""
 
     def __init__(
         self,
@@ -58,12 +58,12 @@
         self.admission = admission.Admission()
         self.attempts = attempts.AttemptTable()
         self.generation = 0
-        self._waiting = waiting.WaitingRoom(order=order, limits=limits)
+        self._waiting = waiting.WaitingQueues(order=order, limits=limits)
         self._idle_peers = idle_peers.IdlePeers()
         self._running = running.RunningTable()
 
     def load(self) -> load_message.Load:
-        """Return the state that rides on every answer."""
+        """Return the state that is attached to every response."""
         return load_message.Load(
             incarnation=self.incarnation,
             epoch=self.epoch,
@@ -76,33 +76,33 @@
 
     @property
     def epoch(self) -> int:
-        """Epoch of the attempt table, carried on every answer."""
+        """Epoch of the attempt table, attached to every response."""
         return self.attempts.epoch
 
     @property
     def running_count(self) -> int:
-        """Attempts that hold a slot."""
+        """Number of attempts that hold a slot."""
         return len(self._running)
 
     def offer(
         self, attempt: attempt_message.Attempt, now: float
     ) -> list[actions.Action]:
-        """Take in an attempt that a router has sent.
+        """Handle an attempt sent by a router.
 
         A known attempt that waits or runs yields no action: the driver
-        attaches the router to the answer that is being made.
+        attaches the router to the response in progress.
         """
         refusal = self._check_offer(attempt, now)
         if refusal is not None:
-            return [self._bar(attempt, refusal)]
+            return [self._refuse(attempt, refusal)]
         if self.attempts.state(attempt.attempt_id) is not None:
             return []
         self.attempts.set_state(attempt.attempt_id, attempts.WAITING)
         due: list[actions.Action] = []
         dropped = self._waiting.add(attempt, now)
         if dropped is not None:
-            due.append(self._bar(*dropped))
-        due += self._fill(now)
+            due.append(self._refuse(*dropped))
+        due += self._start_waiting(now)
         if self.attempts.state(attempt.attempt_id) == attempts.WAITING:
             due += self._hint([attempt], now)
         return due
@@ -110,21 +110,21 @@
     def note_idle(
         self, peer: str, load: load_message.Load, now: float
     ) -> list[actions.Action]:
-        """Take a peer's word that it has free slots and nothing waiting."""
+        """Record a peer's report that it has free slots and an empty queue."""
         self._idle_peers.note(peer, load, now)
         return self._hint(self._waiting.heads(), now)
 
     def withdraw(
         self, attempt_id: str, now: float, *, epoch: int = 0
     ) -> tuple[attempts.AttemptStatus, list[actions.Action]]:
-        """Take an attempt back unless it has started; tell what became of it.
+        """Withdraw an attempt unless it has started; return its status.
 
-        An attempt that is not known yet is barred as well: its offer may
-        still be on the way, and must not start after "not run" was said.
-        One that is claimed just now may still start, so it is not "not run".
+        An unknown attempt is barred as well: its offer may still be in
+        transit and must not start after "not run" was reported. An attempt
+        whose claim is in progress may still start, so it is reported as run.
 
-        ``epoch`` is the attempt's own. An unknown attempt of a stale epoch
-        may have run and been forgotten, so "not run" would be a guess.
+        ``epoch`` is that of the attempt. An unknown attempt of a stale epoch
+        may have run and been removed, so it cannot be reported as "not run".
         """
         state = self.attempts.state(attempt_id)
         if state in (attempts.CLAIMING, attempts.RUNNING, attempts.DONE):
@@ -142,18 +142,19 @@
             reason = failure_value.Failure(
                 code=codes.WITHDRAWN, reason="withdrawn by the router"
             )
-            actions_due = [self._bar(attempt, reason)]
+            actions_due = [self._refuse(attempt, reason)]
         status = attempts.AttemptStatus(state=attempts.BARRED, ran=False)
-        return status, actions_due + self._fill(now)
+        return status, actions_due + self._start_waiting(now)
 
     def cancel(self, attempt_id: str, now: float) -> list[actions.Action]:
-        """Stop an attempt that nobody waits for any more."""
+        """Stop an attempt whose caller has disconnected."""
         run = self._running.find(attempt_id)
         if run is None:
             return self.withdraw(attempt_id, now)[1]
         if not run.attempt.is_repeatable:
-            # Cutting a payment in the middle leaves the caller with an
-            # unknown outcome; it runs to its end and its answer is kept.
+            # Cancelling a request that must not be repeated, such as a
+            # payment, leaves an unknown outcome. It runs to completion and
+            # its response is kept.
             return []
         return [actions.Cancel(attempt=run.attempt)]
 
@@ -163,29 +164,35 @@
         refusal: failure_value.Failure | None,
         now: float,
     ) -> list[actions.Action]:
-        """Note what became of a claim; ``None`` means it is granted.
+        """Record the result of a claim; ``None`` means that it is granted.
 
-        A doubled or late report of a claim that was settled before does
-        nothing: the attempt runs already or is barred for good.
+        A duplicate or late report of a settled claim has no effect: the
+        attempt already runs or is barred permanently.
         """
         attempt = self._running.end_claim(attempt_id)
         if attempt is None:
             return []
         if refusal is not None:
-            return [self._give_up(attempt, refusal), *self._fill(now)]
+            return [
+                self._release_and_refuse(attempt, refusal),
+                *self._start_waiting(now),
+            ]
         late = offer_check.check_start(
             attempt, gate_admission=self.admission, now=now
         )
         if late is not None:
-            # The store can take long to grant a claim. Started now, the
-            # attempt would run at a server that should be quiet by now, or
-            # for a caller that has been told of its passed deadline.
-            given_up = self._give_up(attempt, late)
-            return [given_up._replace(release_claim=True), *self._fill(now)]
+            # The store can take long to grant a claim. If the attempt started
+            # now, it would run at a draining server, or for a caller whose
+            # request has already failed with an expired deadline.
+            given_up = self._release_and_refuse(attempt, late)
+            return [
+                given_up._replace(release_claim=True),
+                *self._start_waiting(now),
+            ]
         return [self._start(attempt, now)]
 
     def progress(self, attempt_id: str, tokens: int, now: float) -> None:
-        """Note tokens served beyond those already charged."""
+        """Record the tokens served so far for a running attempt."""
         run = self._running.find(attempt_id)
         if run is None:
             return
@@ -202,10 +209,10 @@
         now: float,
         has_run: bool = True,
     ) -> list[actions.Action]:
-        """Note the end of a running attempt and its true cost, tokens.
+        """Record the end of a running attempt and its actual cost in tokens.
 
-        ``has_run`` is false only if nothing of it reached the backend
-        server; the attempt is barred then, and its key may be claimed again.
+        ``has_run`` is false only if no part of it reached the backend
+        server; the attempt is then barred, and its key may be claimed again.
         """
         run = self._running.finish(attempt_id)
         if run is None:
@@ -219,36 +226,36 @@
             now=now,
             tokens=cost,
         )
-        return self._fill(now)
+        return self._start_waiting(now)
 
     def drain(
         self, reason: str, now: float, generation: int | None = None
     ) -> list[actions.Action]:
-        """Start nothing new; give back all that waits as "not run".
+        """Stop admitting attempts; refuse all waiting ones as "not run".
 
-        ``generation`` is that of the configuration which says so, if one
-        does; an older one than heard before changes nothing.
+        ``generation`` is that of the configuration which gives the reason,
+        if one does; a generation older than one seen before has no effect.
         """
         del now
         self.admission.close(reason, generation)
-        return self._return_waiting()
+        return self._refuse_waiting()
 
     def undrain(
         self, reason: str, now: float, generation: int | None = None
     ) -> list[actions.Action]:
-        """Take a reason for draining back; a return is a cold start."""
+        """Remove a reason for draining; reopening counts as a cold start."""
         if self.admission.open(reason, generation):
             self.limit.restart()
-        return self._fill(now)
+        return self._start_waiting(now)
 
     def apply_drain_state(
         self, state: drain_state.DrainState, now: float
     ) -> list[actions.Action]:
-        """Take what a configuration and the VM's signals say.
+        """Apply the drain state of a configuration and of the VM's signals.
 
-        Reasons of the configuration come and go with its generation. That
-        the VM leaves is only ever added: the platform's list lags, and may
-        show as live again what has long been told to leave.
+        Reasons of the configuration are added and removed with its
+        generation. The reason that the VM leaves is only ever added: the
+        platform's list lags and may show a leaving VM as live again.
         """
         self.generation = max(self.generation, state.generation)
         actions_due: list[actions.Action] = []
@@ -263,18 +270,18 @@
         return actions_due
 
     def tick(self, now: float) -> list[actions.Action]:
-        """Refuse what waited past its deadline, fill free slots."""
+        """Refuse attempts that waited past their deadline, fill free slots."""
         self.attempts.advance(now)
         actions_due: list[actions.Action] = []
         for attempt in self._waiting.expire(now):
-            actions_due.append(self._bar(attempt, _DEADLINE_PASSED))
-        self._note_overdue(now)
-        return actions_due + self._fill(now)
+            actions_due.append(self._refuse(attempt, _DEADLINE_PASSED))
+        self._report_overdue(now)
+        return actions_due + self._start_waiting(now)
 
     def _check_offer(
         self, attempt: attempt_message.Attempt, now: float
     ) -> failure_value.Failure | None:
-        """Return why an offered attempt cannot be taken, if so."""
+        """Return why an offered attempt is refused, if it is."""
         refusal = offer_check.check_offer(
             attempt,
             incarnation=self.incarnation,
@@ -287,34 +294,34 @@
             return refusal
         return self._waiting.check_bounds(attempt)
 
-    def _bar(
+    def _refuse(
         self,
         attempt: attempt_message.Attempt,
         reason: failure_value.Failure,
     ) -> actions.Refuse:
-        if reason.code not in _REFUSED_BY_RULE:
+        if reason.code not in _REFUSED_WITHOUT_STATE:
             self.attempts.set_state(attempt.attempt_id, attempts.BARRED)
         return actions.Refuse(attempt=attempt, failure=reason)
 
-    def _give_up(
+    def _release_and_refuse(
         self,
         attempt: attempt_message.Attempt,
         reason: failure_value.Failure,
     ) -> actions.Refuse:
         """Bar an attempt that was charged and does not start."""
         self.order.release(attempt)
-        return self._bar(attempt, reason)
+        return self._refuse(attempt, reason)
 
-    def _return_waiting(self) -> list[actions.Action]:
+    def _refuse_waiting(self) -> list[actions.Action]:
         if self.admission.is_open:
             return []
-        refusal = offer_check.make_draining(self.admission.reasons[0])
-        return [self._bar(a, refusal) for a in self._waiting.clear()]
+        refusal = offer_check.make_draining_failure(self.admission.reasons[0])
+        return [self._refuse(a, refusal) for a in self._waiting.clear()]
 
     def _hint(
         self, waiting_attempts: list[attempt_message.Attempt], now: float
     ) -> list[actions.Action]:
-        """Tell routers of waiting attempts where a slot is free."""
+        """Notify routers of waiting attempts where a slot is free."""
         due: list[actions.Action] = []
         for attempt in waiting_attempts:
             idle = self._idle_peers.take(now)
@@ -324,15 +331,15 @@
             due.append(actions.Hint(attempt=attempt, agent=peer, load=load))
         return due
 
-    def _note_overdue(self, now: float) -> None:
-        """Tell the limit of attempts that are silent for too long."""
+    def _report_overdue(self, now: float) -> None:
+        """Report attempts with an overdue first token to the limit."""
         overdue_after = self.limit.overdue_after
         if overdue_after is None:
             return
         for run in self._running.take_overdue(now - overdue_after):
             self.limit.overdue(run.started_at, now)
 
-    def _fill(self, now: float) -> list[actions.Action]:
+    def _start_waiting(self, now: float) -> list[actions.Action]:
         """Give free slots to waiting attempts in the share order."""
         actions_due: list[actions.Action] = []
         if not self.admission.is_open:
@@ -343,9 +350,9 @@
         ):
             attempt = self._waiting.pop_next(now)
             if attempt.deadline <= now:
-                # A process that was paused wakes with attempts whose routers
-                # have long told their callers that the deadline passed.
-                actions_due.append(self._bar(attempt, _DEADLINE_PASSED))
+                # After a pause of the process, attempts may still wait whose
+                # routers have already reported the expired deadline.
+                actions_due.append(self._refuse(attempt, _DEADLINE_PASSED))
                 continue
             self.order.start(attempt)
             actions_due.append(self._claim_or_start(attempt, now))
--- a/packages/daisypick_core/src/daisypick_core/gate/offer_check.py
+++ b/packages/daisypick_core/src/daisypick_core/gate/offer_check.py
@@ -1,11 +1,12 @@
-"""Why an attempt that arrives at a gate is refused.
+"""Checks on an attempt that arrives at a gate.
 
-The order of the checks matters: what is meant for another start of the agent,
-or may have been settled and forgotten, is refused before anything is
-concluded from the table of attempts.
+The order of the checks matters: an attempt for another incarnation of the
+agent is refused before its state is looked up, and an unknown attempt whose
+epoch is stale, which may have been settled and removed, is never treated as
+new.
 
 See Also:
-    ``daisypick_core.gate.attempts``: states, epochs, and what barred means.
+    ``daisypick_core.gate.attempts``: states, epochs, the meaning of barred.
 """
 
 from daisypick_core.gate import admission
@@ -23,18 +24,18 @@
     gate_admission: admission.Admission,
     now: float,
 ) -> failure_value.Failure | None:
-    """Return why an offered attempt cannot be taken, if so.
+    """Return why an offered attempt is refused, if it is.
 
     A known attempt that waits, runs or is done passes: its router is attached
-    to the answer that is being made.
+    to the response in progress.
     """
     if attempt.incarnation != incarnation:
-        # After a restart the table is empty: an attempt that was sent to the
-        # predecessor may have run there. Only the address in the attempt can
-        # tell, so what is not for this start is refused. This holds for a
-        # router's first attempt as well, which cannot know the address: taken
-        # in, its doubled offer could run here after the predecessor has said
-        # "not run".
+        # After a restart the table is empty, but an attempt that was sent to
+        # the previous incarnation may have run there. Only the incarnation in
+        # the attempt shows this, so any other one is refused. This includes a
+        # router's first attempt, which cannot know the incarnation: if it were
+        # accepted, a duplicate of the offer could run here after the previous
+        # incarnation has reported "not run".
         return failure_value.Failure(
             code=codes.STALE_INCARNATION,
             reason=f"incarnation: {attempt.incarnation} is not this one",
@@ -47,8 +48,8 @@
     if state is not None:
         return None
     if table.is_stale(attempt.epoch):
-        # Settled attempts of that age are forgotten: this one may have run,
-        # or been reported as "not run". It must not start.
+        # Settled attempts of that age have been removed. This one may have
+        # run or been reported as "not run", so it must not start.
         return failure_value.Failure(
             code=codes.STALE_EPOCH,
             reason=f"epoch: {attempt.epoch} is not near {table.epoch}",
@@ -62,9 +63,9 @@
     gate_admission: admission.Admission,
     now: float,
 ) -> failure_value.Failure | None:
-    """Return why nothing starts now, or this attempt does not."""
+    """Return why this attempt may not start now, if it may not."""
     if not gate_admission.is_open:
-        return make_draining(gate_admission.reasons[0])
+        return make_draining_failure(gate_admission.reasons[0])
     if attempt.deadline <= now:
         return failure_value.Failure(
             code=codes.DEADLINE_PASSED, reason="deadline: already passed"
@@ -72,8 +73,8 @@
     return None
 
 
-def make_draining(reason: str) -> failure_value.Failure:
-    """Return the refusal of a gate that is closed for a reason."""
+def make_draining_failure(reason: str) -> failure_value.Failure:
+    """Return the failure of a gate that is closed for a reason."""
     is_fresh = reason == admission.NOT_CONFIGURED
     code = codes.NOT_CONFIGURED if is_fresh else codes.DRAINING
     return failure_value.Failure(code=code, reason=reason)
--- a/packages/daisypick_core/src/daisypick_core/gate/waiting.py
+++ b/packages/daisypick_core/src/daisypick_core/gate/waiting.py
@@ -1,8 +1,9 @@
-"""Attempts that wait at the gate, and the bounds that a flood meets.
+"""Bounded queues of the attempts that wait at the gate.
 
-Each organisation has a bounded queue. When all of them together are full the
-newest attempt of the longest queue makes room for a shorter one: refusing
-whoever comes last would let one flooder fill the gate and shut out the rest.
+Each organisation has a bounded queue. When their total reaches its bound, the
+newest attempt of the longest queue is dropped in favour of an organisation
+with a shorter queue. Refusing whichever attempt arrives last would let one
+overloading organisation fill the gate and starve the others.
 """
 
 import typing
@@ -19,16 +20,16 @@
     """Bounds of the gate's queues.
 
     Attributes:
-        waiting_per_organisation: Waiting attempts of one organisation.
-        waiting_in_all: Waiting attempts of all organisations.
+        waiting_per_organisation: Maximum waiting attempts of an organisation.
+        waiting_in_all: Maximum waiting attempts of all organisations.
     """
 
     waiting_per_organisation: int = 64
     waiting_in_all: int = 1024
 
 
-class WaitingRoom:
-    """Bounded queues by organisation, left in the share order."""
+class WaitingQueues:
+    """Bounded queues by organisation, served in the share order."""
 
     def __init__(
         self, *, order: share_order.ShareOrder, limits: GateLimits
@@ -46,7 +47,7 @@
     def check_bounds(
         self, attempt: attempt_message.Attempt
     ) -> failure_value.Failure | None:
-        """Return why there is no room for an attempt, if so."""
+        """Return why the queues cannot hold an attempt, if they cannot."""
         own = self._queues.size(attempt.organisation)
         if own >= self._limits.waiting_per_organisation:
             return self._full(attempt.organisation)
@@ -59,7 +60,7 @@
     def add(
         self, attempt: attempt_message.Attempt, now: float
     ) -> tuple[attempt_message.Attempt, failure_value.Failure] | None:
-        """Add an attempt; return the one that made room for it, if any."""
+        """Add an attempt; return the one dropped in its favour, if any."""
         dropped = None
         if len(self._queues) >= self._limits.waiting_in_all:
             longest = self._queues.longest()
@@ -76,14 +77,14 @@
         return self._queues.heads()
 
     def remove(self, attempt_id: str) -> attempt_message.Attempt | None:
-        """Take an attempt out, ``None`` if it does not wait."""
+        """Remove and return an attempt, ``None`` if it does not wait."""
         attempt = self._queues.remove(attempt_id)
         if attempt is not None:
             self._depart_if_empty(attempt.organisation)
         return attempt
 
     def pop_next(self, now: float) -> attempt_message.Attempt:
-        """Take out the attempt that is served next."""
+        """Remove and return the attempt that is served next."""
         organisation = self._order.pick(self._queues.keys(), now)
         attempt = self._queues.pop_first(organisation)
         self._depart_if_empty(organisation)
@@ -91,14 +92,14 @@
         return attempt
 
     def expire(self, now: float) -> list[attempt_message.Attempt]:
-        """Take out the attempts whose deadline has come."""
+        """Remove and return the attempts whose deadline has passed."""
         expired = self._queues.expire(now)
         for attempt in expired:
             self._depart_if_empty(attempt.organisation)
         return expired
 
     def clear(self) -> list[attempt_message.Attempt]:
-        """Take all attempts out."""
+        """Remove and return all attempts."""
         for organisation in list(self._queues.keys()):
             self._order.depart(organisation)
         return self._queues.clear()
--- a/packages/daisypick_core/tests/gate/test_attempts.py
+++ b/packages/daisypick_core/tests/gate/test_attempts.py
@@ -3,11 +3,11 @@
 from daisypick_core.gate import attempts
 
 
-def test_barred_attempt_outlives_a_flood_of_others():
-    # A router withdraws attempt x and tells its caller "not run". Thousands
-    # of other attempts settle; then the late offer of x arrives. A table that
-    # drops the oldest takes x for new and runs it. Here x is forgotten only
-    # when its epoch is stale, so the offer is refused either way.
+def test_barred_attempt_is_refused_after_many_others_have_settled():
+    # A late offer arrives for a withdrawn attempt after thousands of others
+    # have settled. A table that drops its oldest entries would run it as new.
+    # It may be removed only once its epoch is stale, so that the offer is
+    # refused in either case.
     table = attempts.AttemptTable(settled_an_epoch=10)
     table.set_state("x", attempts.BARRED)
     epoch_of_x = table.epoch
@@ -15,14 +15,14 @@
         table.set_state(f"y{n}", attempts.DONE)
         is_known = table.state("x") == attempts.BARRED
         assert is_known or table.is_stale(epoch_of_x)
-    assert len(table) <= 10 * (attempts.EPOCHS_OPEN + 1)
+    assert len(table) <= 10 * (attempts.MAX_EPOCH_AGE + 1)
 
 
 def test_settled_attempt_is_kept_until_its_offers_are_stale():
     table = attempts.AttemptTable()
     table.begin_epoch()
     table.set_state("x", attempts.DONE)
-    for _ in range(attempts.EPOCHS_OPEN):
+    for _ in range(attempts.MAX_EPOCH_AGE):
         table.begin_epoch()
         assert table.state("x") == attempts.DONE
         assert not table.is_stale(1)
@@ -39,18 +39,18 @@
         table.set_state("x", attempts.RUNNING)
 
 
-def test_claimed_attempt_is_kept_while_its_key_is_asked_about():
+def test_claimed_attempt_is_kept_while_its_key_can_be_queried():
     table = attempts.AttemptTable()
     table.set_state("x", attempts.CLAIMING)
     table.set_state("x", attempts.BARRED)
-    for _ in range(attempts.EPOCHS_CLAIMED - 1):
+    for _ in range(attempts.CLAIMED_RETENTION_EPOCHS - 1):
         table.begin_epoch()
     assert table.state("x") == attempts.BARRED
     table.begin_epoch()
     assert (table.state("x"), len(table)) == (None, 0)
 
 
-def test_claimed_attempts_are_bounded_and_forgotten_only_when_stale():
+def test_claimed_attempts_are_bounded_and_removed_only_when_stale():
     table = attempts.AttemptTable(settled_an_epoch=4)
     for n in range(40):
         epoch = table.epoch
@@ -60,7 +60,7 @@
         assert len(table) <= 5
 
 
-def test_paused_process_begins_one_epoch_not_many():
+def test_paused_process_begins_only_one_epoch():
     table = attempts.AttemptTable()
     table.advance(0.0)
     table.advance(attempts.EPOCH_SECONDS - 1)
--- a/packages/daisypick_core/tests/gate/test_concurrency.py
+++ b/packages/daisypick_core/tests/gate/test_concurrency.py
@@ -10,10 +10,10 @@
     return subject
 
 
-def test_silently_cold_server_shows_within_two_requests():
-    # The server lost its weights and says nothing; its first tokens take
-    # two seconds instead of 0.2. One request may be a long prompt: probes go
-    # on one at a time. The second confirms: back to the cold limit.
+def test_unannounced_cold_server_is_detected_within_two_requests():
+    # A server becomes cold without a new boot id; its time to first token
+    # rises from 0.2 to 2 seconds. The first request may be a long prompt, so
+    # attempts continue one at a time. The second confirms the cold server.
     subject = make_warm()
     subject.first_token(2.0, 302.0)
     assert subject.is_suspicious
@@ -23,7 +23,7 @@
     assert (subject.limit, subject.is_suspicious) == (1, False)
 
 
-def test_one_long_prompt_costs_nothing():
+def test_one_long_prompt_does_not_reduce_the_limit():
     subject = make_warm()
     subject.first_token(2.0, 302.0)
     subject.first_token(0.2, 303.0)
@@ -31,9 +31,9 @@
     assert subject.allows(running=7, without_token=7)
 
 
-def test_silent_server_shows_without_any_answer():
-    # The server hangs: no first token ever comes, so no answer can show the
-    # leap. The silence itself must count.
+def test_hanging_server_is_detected_without_any_response():
+    # A hanging server never produces a first token, so that no time to first
+    # token is recorded. Overdue first tokens must count as outliers.
     subject = make_warm()
     assert 0.8 < subject.overdue_after < 1.0
     subject.overdue(300.0, 301.0)
@@ -41,9 +41,9 @@
     assert subject.limit == 1
 
 
-def test_errors_that_come_together_are_one_event():
-    # A reboot breaks eight running attempts at once. The limit is cut, but
-    # the ramp after it must not be punished eight times.
+def test_simultaneous_errors_are_one_event():
+    # A reboot fails eight running attempts at once. The limit is reduced, but
+    # the backoff of the ramp must not grow with each of the eight errors.
     subject = make_warm()
     for _ in range(8):
         subject.finished(is_healthy=False, started_at=299.0, now=300.0)
@@ -53,22 +53,22 @@
     assert subject.limit == 8
 
 
-def test_server_that_keeps_falling_over_is_pushed_less_often():
-    # A server falls over whenever a second request runs. Each fall must
-    # make the next push rarer, or it never gets through its cold start.
+def test_backoff_grows_while_a_server_crashes_repeatedly():
+    # A server crashes whenever a second request runs. Each crash must delay
+    # the next increase further, or the server never completes its cold start.
     subject = concurrency.ConcurrencyLimit(slots=8, cold_slots=1)
-    answers_by_fall = []
+    responses_by_crash = []
     now = 0.0
     for _ in range(4):
-        answers = 0
+        responses = 0
         while subject.limit == 1:
             now += 1.0
-            answers += 1
+            responses += 1
             subject.finished(is_healthy=True, started_at=now - 0.5, now=now)
-        answers_by_fall.append(answers)
+        responses_by_crash.append(responses)
         now += 1.0
         subject.finished(is_healthy=False, started_at=now - 0.5, now=now)
-    assert answers_by_fall == [1, 2, 4, 8]
+    assert responses_by_crash == [1, 2, 4, 8]
 
 
 def test_ramp_waits_while_first_tokens_do_not_keep_up():
@@ -84,9 +84,9 @@
     assert subject.limit == 3
 
 
-def test_service_that_became_slower_for_good_is_ramped_again():
-    # Prompts grow tenfold and stay so. The baseline must follow, or the
-    # server would be held at its cold limit for good.
+def test_permanently_slower_service_is_ramped_again():
+    # Prompts become ten times longer and stay so. The baseline must follow,
+    # or the server would stay at its cold limit permanently.
     subject = make_warm()
     for n in range(100):
         subject.first_token(2.0, 400.0 + n)
--- a/packages/daisypick_core/tests/gate/test_drain_state.py
+++ b/packages/daisypick_core/tests/gate/test_drain_state.py
@@ -72,10 +72,10 @@
     ).reasons == {admission.VM_LEAVING}
 
 
-def test_late_in_does_not_undo_out():
-    # Operators take a data centre in (generation 7) and out again (8). The
-    # agent hears of 8 first and of 7 late, from a peer that was cut off.
-    # Opening on 7 would start work in a data centre that is out.
+def test_older_generation_does_not_reopen_a_gate():
+    # Generation 7 takes a data centre into service and 8 out of service. The
+    # agent receives 8 first and 7 later, from a peer that was partitioned.
+    # Opening on 7 would start attempts in a data centre out of service.
     subject = make_gate()
     subject.apply_drain_state(derive(8, is_in=False), 1.0)
     subject.apply_drain_state(derive(7), 2.0)
@@ -87,9 +87,9 @@
 
 
 def test_restart_without_configuration_starts_nothing():
-    # The agent restarts while its data centre is out and the store is down.
-    # With nothing in memory it must not take work: a router that is as
-    # ignorant would otherwise get its request run there.
+    # The agent restarts while its data centre is out of service and the store
+    # is down. Without a configuration it must refuse attempts, or a router
+    # that lacks the configuration as well gets its request run there.
     subject = make_gate()
     subject.admission = admission.Admission()
     empty = drain_state.derive(model.EMPTY, "desk-1")
@@ -103,9 +103,9 @@
     assert subject.admission.reasons == (admission.DATA_CENTRE_OUT,)
 
 
-def test_lagging_list_does_not_bring_a_leaving_vm_back():
-    # The VM is told to leave. The platform's list lags and still shows it
-    # as live; taking that as news would start work on a VM that goes away.
+def test_lagging_list_does_not_reopen_the_gate_of_a_leaving_vm():
+    # The VM is leaving while the platform's list lags and still shows it as
+    # live. Applying the list would start attempts on a leaving VM.
     subject = make_gate()
     leaving = derive(1)._replace(reasons=frozenset({admission.VM_LEAVING}))
     subject.apply_drain_state(leaving, 1.0)
@@ -128,10 +128,9 @@
 
 
 def test_late_claim_starts_nothing_when_draining():
-    # A booking is being claimed while the store is slow, and the data centre
-    # goes out. The claim is granted half a second or ten seconds later: the
-    # booking does not start here, its claim is given back, and it runs
-    # elsewhere.
+    # A data centre goes out of service while a slow store processes a claim,
+    # which is granted half a second or ten seconds later. The attempt must
+    # not start here, and its claim is released so that it can run elsewhere.
     for late in (0.5, 10.0):
         subject = make_gate()
         fields = {"is_repeatable": False, "idempotency_key": "k"}
@@ -144,9 +143,9 @@
         assert subject.running_count == 0
 
 
-def test_process_that_wakes_late_starts_nothing_past_its_deadline():
-    # The agent is paused with a request waiting. When it wakes, the router
-    # has told its caller that the deadline passed: it must not run now.
+def test_resumed_process_starts_nothing_past_its_deadline():
+    # The agent is paused while a request waits. When it resumes, the router
+    # has already reported the expired deadline, so the request must not run.
     subject = make_gate(slots=1)
     subject.offer(make_attempt("x"), 0.0)
     subject.offer(make_attempt("y", deadline=5.0), 0.0)
--- a/packages/daisypick_core/tests/gate/test_gate.py
+++ b/packages/daisypick_core/tests/gate/test_gate.py
@@ -33,9 +33,9 @@
 
 
 def test_withdrawn_attempt_never_starts():
-    # The router withdraws an attempt and tells its caller "not run". The
-    # offer itself is late and arrives after the withdrawal: it must be
-    # refused, or the request runs although "not run" was said.
+    # The router withdraws an attempt and reports "not run". The offer arrives
+    # after the withdrawal and must be refused, or the request runs
+    # nevertheless.
     subject = make_gate()
     status, due = subject.withdraw("x", 0.0)
     assert (status.ran, due) == (False, [])
@@ -45,13 +45,13 @@
 
 
 def test_stale_incarnation_is_refused():
-    # A router sends an attempt to an agent that restarts before it arrives.
-    # The predecessor may have run it, so the successor must not.
+    # An attempt arrives after a restart of the agent. The previous
+    # incarnation may have run it, so the new one must not.
     (refusal,) = make_gate().offer(make_attempt("x", incarnation="a0"), 0.0)
     assert refusal.failure.code == codes.STALE_INCARNATION
 
 
-def test_drain_gives_back_what_waits_and_keeps_what_runs():
+def test_drain_refuses_waiting_attempts_and_keeps_running_ones():
     subject = make_gate()
     (start,) = subject.offer(make_attempt("x"), 0.0)
     assert isinstance(start, actions.Start)
@@ -82,10 +82,10 @@
     ]
 
 
-def test_withdrawn_attempt_never_starts_however_late():
-    # The router withdraws x before its offer arrives and says "not run". Many
-    # epochs later, when x is long forgotten, the offer turns up. Its epoch
-    # tells that the gate can no longer know, so it is refused.
+def test_withdrawn_attempt_never_starts_after_its_removal():
+    # The router withdraws x before its offer arrives and reports "not run".
+    # The offer arrives many epochs later, after x was removed from the table.
+    # Its stale epoch must cause a refusal.
     subject = make_gate(slots=4)
     subject.withdraw("x", 0.0, epoch=0)
     late_offer = make_attempt("x", deadline=10_000.0)
@@ -97,9 +97,9 @@
     assert len(subject.attempts) == 0
 
 
-def test_forgotten_attempt_is_not_called_not_run():
-    # x runs and ends. Long after, a router that lost the connection asks for
-    # it. The gate has forgotten x; "not run" would be false.
+def test_removed_attempt_is_not_reported_as_not_run():
+    # x runs and ends. Much later a router that lost its connection queries
+    # its status. The gate has removed x, and "not run" would be false.
     subject = make_gate()
     subject.offer(make_attempt("x"), 0.0)
     subject.finish("x", cost=1.0, is_healthy=True, now=1.0)
@@ -112,7 +112,7 @@
     )
 
 
-def test_doubled_and_late_claim_reports_start_nothing():
+def test_duplicate_and_late_claim_reports_start_nothing():
     subject = make_gate()
     attempt = make_attempt("x", is_repeatable=False, idempotency_key="k")
     subject.offer(attempt, 0.0)
@@ -124,10 +124,10 @@
     assert subject.running_count == 0
 
 
-def test_claim_granted_while_draining_is_given_back():
-    # The data centre is taken out while a claim is on its way to the store.
-    # The grant arrives after the drain: nothing new may start, and the claim
-    # can be taken over, since the attempt is barred here.
+def test_claim_granted_while_draining_is_released():
+    # The data centre goes out of service while a claim is in transit to the
+    # store, and the grant arrives after the drain. The attempt must not start
+    # and is barred, so that its claim can be taken over.
     subject = make_gate()
     attempt = make_attempt("x", is_repeatable=False, idempotency_key="k")
     subject.offer(attempt, 0.0)
@@ -137,7 +137,7 @@
     assert not subject.withdraw("x", 3.0)[0].ran
 
 
-def test_claim_granted_past_the_deadline_is_given_back():
+def test_claim_granted_past_the_deadline_is_refused():
     subject = make_gate()
     attempt = make_attempt("x", is_repeatable=False, idempotency_key="k")
     subject.offer(attempt, 0.0)
@@ -145,10 +145,10 @@
     assert refused.failure.code == codes.DEADLINE_PASSED
 
 
-def test_waiting_attempt_is_pointed_to_an_idle_peer():
-    # One agent is idle while an attempt waits at another. The word of the
-    # idle one comes before the attempt or after it: its router is told in
-    # either case, once for each free slot.
+def test_waiting_attempt_is_redirected_to_an_idle_peer():
+    # One agent is idle while an attempt waits at another. The announcement of
+    # the idle one arrives before the attempt or after it. In either case the
+    # router must receive a hint, one for each free slot.
     idle = make_gate().load()
     subject = make_gate()
     subject.offer(make_attempt("x"), 0.0)
@@ -164,9 +164,10 @@
     assert subject.offer(make_attempt("z"), 0.3) == []
 
 
-def test_whole_answers_are_no_sign_of_a_cold_server():
-    # Callers of whole answers get their first byte with the last. Taken for
-    # first tokens, a few long ones would make a warm server look cold.
+def test_responses_without_streaming_do_not_indicate_a_cold_server():
+    # The first byte of a response that is not streamed arrives with its last.
+    # Treated as a first token, a few long responses would make a warm server
+    # look cold.
     subject = make_gate(slots=4)
     for n in range(9):
         now = float(n)
@@ -185,9 +186,9 @@
 
 
 def test_attempt_that_never_reached_its_server_is_barred():
-    # The backend server refuses the connection. The caller is told "not run"
-    # and retries the key: the holder must say that it never ran, so that the
-    # key can be claimed again.
+    # The backend server refuses the connection. The caller receives "not run"
+    # and retries the key. The holder must report that the attempt never ran,
+    # so that the key can be claimed again.
     subject = make_gate()
     attempt = make_attempt("x", is_repeatable=False, idempotency_key="k")
     subject.offer(attempt, 0.0)
--- a/packages/daisypick_core/tests/gate/test_idle_peers.py
+++ b/packages/daisypick_core/tests/gate/test_idle_peers.py
@@ -12,9 +12,9 @@
 )
 
 
-def test_each_free_slot_is_promised_once():
-    # An idle agent has two free slots. A peer with many waiting attempts may
-    # send two of them there, not all.
+def test_each_free_slot_is_assigned_once():
+    # An idle agent has two free slots. A peer with many waiting attempts must
+    # redirect only two of them.
     subject = idle_peers.IdlePeers()
     subject.note("b", LOAD, 0.0)
     assert [subject.take(0.1) is not None for _ in range(3)] == [
@@ -24,7 +24,7 @@
     ]
 
 
-def test_old_word_and_draining_peers_are_not_passed_on():
+def test_outdated_reports_and_draining_peers_are_not_used():
     subject = idle_peers.IdlePeers()
     subject.note("b", LOAD, 0.0)
     assert subject.take(5.0) is None
@@ -33,7 +33,7 @@
     assert subject.take(6.2) is None
 
 
-def test_memory_of_peers_is_bounded():
+def test_number_of_stored_peers_is_bounded():
     subject = idle_peers.IdlePeers()
     for n in range(1000):
         subject.note(str(n), LOAD, 0.0)
--- a/packages/daisypick_core/tests/gate/test_slow_warm_up.py
+++ b/packages/daisypick_core/tests/gate/test_slow_warm_up.py
@@ -7,7 +7,7 @@
 SLOTS = 8
 COLD_SLOTS = 2
 TOKENS_PER_SLOT = 64
-ANSWER_TOKENS = 20
+RESPONSE_TOKENS = 20
 
 
 def make_attempt(number):
@@ -16,7 +16,7 @@
         request_id=f"r{number}",
         organisation="union",
         service="assistant",
-        estimate=float(ANSWER_TOKENS),
+        estimate=float(RESPONSE_TOKENS),
         deadline=1e9,
         incarnation="g",
         epoch=0,
@@ -24,11 +24,12 @@
     )
 
 
-def test_server_that_warms_slowly_gets_no_more_than_it_bears():
-    # A cold server bears two requests, and one more for each 64 tokens that it
-    # has served; over that it falls over. Its answers are short and healthy
-    # until then, and its times tell nothing. The limit rises by one an answer,
-    # so it outruns what the server bears and callers lose their answers.
+def test_limit_stays_within_the_capacity_of_a_slowly_warming_server():
+    # A cold server can handle two requests, plus one for each 64 tokens that
+    # it has served, and crashes beyond that. Until then its responses are
+    # short and healthy, without any sign in its latency. A limit that
+    # increases by one per response exceeds this capacity, and callers lose
+    # their responses in the crash.
     gate = core_gate.Gate(
         incarnation="g",
         order=share_order.ShareOrder(share_by_organisation={}),
@@ -40,15 +41,15 @@
         now = float(number)
         due = gate.offer(make_attempt(number), now)
         if number >= COLD_SLOTS + 4:
-            served += ANSWER_TOKENS
+            served += RESPONSE_TOKENS
             ended = running.pop(0)
             due += gate.finish(
-                ended, cost=ANSWER_TOKENS, is_healthy=True, now=now
+                ended, cost=RESPONSE_TOKENS, is_healthy=True, now=now
             )
         running += [
             action.attempt.attempt_id
             for action in due
             if isinstance(action, actions.Start)
         ]
-        bears = min(SLOTS, COLD_SLOTS + served // TOKENS_PER_SLOT)
-        assert len(running) <= bears
+        capacity = min(SLOTS, COLD_SLOTS + served // TOKENS_PER_SLOT)
+        assert len(running) <= capacity
--- a/packages/daisypick_core/tests/gate/test_waiting.py
+++ b/packages/daisypick_core/tests/gate/test_waiting.py
@@ -18,18 +18,18 @@
     )
 
 
-def make_room(**limits):
-    return waiting.WaitingRoom(
+def make_queues(**limits):
+    return waiting.WaitingQueues(
         order=share_order.ShareOrder(share_by_organisation={}),
         limits=waiting.GateLimits(**limits),
     )
 
 
-def test_flooder_does_not_shut_others_out():
-    # One organisation fills the gate. The next to come is another one, and
-    # must get in: the flooder's newest attempt makes room, and is told when
-    # to come back.
-    subject = make_room(waiting_in_all=3)
+def test_overloading_organisation_does_not_starve_others():
+    # One organisation fills the gate. An attempt of another one must still be
+    # admitted: the newest attempt of the first one is dropped and gets a
+    # retry delay.
+    subject = make_queues(waiting_in_all=3)
     for n in range(3):
         assert subject.add(make_attempt(f"f{n}", "flooder"), 0.0) is None
     refusal = subject.check_bounds(make_attempt("f3", "flooder"))
@@ -42,8 +42,8 @@
     assert len(subject) == 3
 
 
-def test_organisation_has_a_bound_of_its_own():
-    subject = make_room(waiting_per_organisation=1)
+def test_each_organisation_has_its_own_bound():
+    subject = make_queues(waiting_per_organisation=1)
     subject.add(make_attempt("a", "union"), 0.0)
     assert subject.check_bounds(make_attempt("b", "union")) is not None
     assert subject.check_bounds(make_attempt("c", "studio")) is None
