--- a/packages/daisypick_core/src/daisypick_core/claims/__init__.py
+++ b/packages/daisypick_core/src/daisypick_core/claims/__init__.py
@@ -1,17 +1,17 @@
-"""At most once for requests that may not be repeated.
+"""At-most-once execution of requests that may not be repeated.
 
-The agent that is about to run such a request first claims its idempotency
-key in the platform's store, by conditional update. Whoever loses asks the
-agent that won what became of the winner's attempt.
+Before an agent runs such a request, it claims the request's idempotency key
+in the platform's store by a conditional update. An agent whose claim loses
+queries the agent of the winning attempt for that attempt's status.
 
-* ``entry``: a claim as it is stored, and the shard of a key.
+* ``entry``: the stored form of a claim, and the shard of a key.
 * ``shard``: a shard's objects as values; which claims they grant.
-* ``outcomes``: what a batcher answers to a claim.
+* ``outcomes``: a batcher's responses to a claim.
 * ``batcher``: commits the claims of many agents in few writes.
 * ``claimant``: the agent's side, from claim to verdict.
-* ``actions``: what batcher and claimant ask their drivers to do.
+* ``actions``: the actions that batcher and claimant request from drivers.
 * ``pick``: which agent is the batcher of a shard.
 
 See Also:
-    ``docs/design/at_most_once.md``, ``spec/``: why this is enough.
+    ``docs/design/at_most_once.md``, ``spec/``: why this is sufficient.
 """
--- a/packages/daisypick_core/src/daisypick_core/claims/actions.py
+++ b/packages/daisypick_core/src/daisypick_core/claims/actions.py
@@ -1,9 +1,9 @@
-"""What batcher and claimant ask their drivers to do.
+"""Actions that batcher and claimant request from their drivers.
 
-The driver of a batcher carries out ``Read``, ``Write`` and ``Delete`` on the
-platform's store and reports each with ``Batcher.done``; it brings ``Settle``
-back to whoever submitted the claim. The driver of a claimant carries out
-``Commit`` and ``Ask`` and hands ``Conclude`` to the gate.
+The driver of a batcher performs ``Read``, ``Write`` and ``Delete`` on the
+platform's store and reports each result with ``Batcher.done``; it returns
+``Settle`` to the agent that submitted the claim. The driver of a claimant
+performs ``Commit`` and ``Ask`` and passes ``Conclude`` to the gate.
 """
 
 import typing
@@ -20,7 +20,7 @@
 
 
 class Write(typing.NamedTuple):
-    """Write an object if its version matches; ``None`` makes a new one."""
+    """Write an object if its version matches; ``None`` creates a new one."""
 
     name: str
     value: bytes
@@ -28,14 +28,14 @@
 
 
 class Delete(typing.NamedTuple):
-    """Delete an object if its version matches; a failure does no harm."""
+    """Delete an object if its version matches; a failure is harmless."""
 
     name: str
     if_version: str
 
 
 class Settle(typing.NamedTuple):
-    """Answer whoever submitted the claim under that ticket."""
+    """Return the outcome of the claim that was submitted with that ticket."""
 
     ticket: int
     outcome: outcomes.Outcome
@@ -57,14 +57,14 @@
 
 
 class Release(typing.NamedTuple):
-    """Submit the claim, which frees a key; nobody waits for its outcome."""
+    """Submit a claim that releases a key; its outcome is not awaited."""
 
     claim: outcomes.Claim
     batcher: str
 
 
 class Ask(typing.NamedTuple):
-    """Ask the agent of ``holder`` what became of its attempt."""
+    """Query the agent of ``holder`` for the status of its attempt."""
 
     attempt_id: str
     holder: claim_entry.Entry
--- a/packages/daisypick_core/src/daisypick_core/claims/batcher.py
+++ b/packages/daisypick_core/src/daisypick_core/claims/batcher.py
@@ -1,15 +1,14 @@
 """Commits the claims of many agents in few writes.
 
-Claims of a shard that arrive while a write of it is under way go together
-into the next one. Of each shard one write is under way at a time. Which
-process is the batcher of a shard is advice: several at once see conflicts,
-read again and go on, and the conditional update lets only one of two claims
-of a key pass.
+Each shard has at most one write in flight; claims that arrive meanwhile are
+batched into the next one. The choice of a shard's batcher is advisory:
+concurrent batchers see conflicts, read again and retry, and the conditional
+update grants only one of two claims of a key.
 
-An answer of the store that is lost leaves a write unknown. The batcher then
-reads the head back: a claim that it finds stored is granted. If it cannot
-read either, the claim is ``Unavailable`` though its entry may be stored; the
-claiming agent bars the attempt, so that the entry does no harm.
+A lost response of the store leaves the outcome of a write unknown. The
+batcher then reads the head: a claim found in it is granted. If the read fails
+as well, the claim is ``Unavailable`` although its entry may be stored; the
+claiming agent bars the attempt, so that the entry is harmless.
 
 Every event takes ``now`` (seconds, any monotonic clock) and returns actions.
 
@@ -33,12 +32,12 @@
 from daisypick_core.results import codes
 from daisypick_core.results import failure as failure_value
 
-# Claims that one write carries, so that the object stays small.
+# Maximum claims per write, which keeps the object small.
 BATCH_CLAIMS = 512
-# Spans read at once by a batcher that takes a shard over.
+# Maximum spans read concurrently by a batcher that takes over a shard.
 READS_AT_ONCE = 16
 
-_RETRIED = frozenset(
+_RETRIED_CODES = frozenset(
     {
         codes.PLATFORM_CONFLICT,
         codes.PLATFORM_ANSWER_LOST,
@@ -52,13 +51,13 @@
     """Bounds of a batcher.
 
     Attributes:
-        write_interval: Seconds between two writes of one shard, at least.
-            With ``entry.SHARD_COUNT`` it bounds what all claims of the fleet
-            together take of the store's writes, whatever their number.
-        retry_delay: Seconds before the store is tried again, about.
+        write_interval: Minimum seconds between two writes of one shard.
+            Together with ``entry.SHARD_COUNT`` it bounds the rate of store
+            writes of the whole fleet, regardless of the number of claims.
+        retry_delay: Mean seconds before a store call is retried.
         patience: Seconds after which a claim that is not settled is
             ``Unavailable``.
-        claims: Claims that wait, in all.
+        claims: Maximum number of waiting claims.
         idle: Seconds after which a shard without claims is dropped from
             memory.
     """
@@ -71,14 +70,14 @@
 
 
 class _Waiting(typing.NamedTuple):
-    """A claim that waits for its outcome."""
+    """A claim whose outcome is pending."""
 
     claim: outcomes.Claim
-    give_up_at: float
+    expires_at: float
 
 
 class _ShardWork:
-    """A shard's claims and the call that is under way for it."""
+    """A shard's waiting claims and its store calls in flight."""
 
     def __init__(self, *, number: int, now: float) -> None:
         self.view = shard_view.ShardView(number=number, now=now)
@@ -105,13 +104,13 @@
 
     @property
     def waiting_count(self) -> int:
-        """Claims that are not settled yet."""
+        """Number of claims that are not settled yet."""
         return self._waiting_count
 
     def wake_at(self) -> float | None:
-        """Return when ``tick`` has something to do, ``None`` if nothing."""
+        """Return when ``tick`` is due next, ``None`` if nothing waits."""
         times = [
-            waiting.give_up_at
+            waiting.expires_at
             for work in self._work_by_shard.values()
             for waiting in itertools.islice(work.waiting_by_ticket.values(), 1)
         ]
@@ -130,9 +129,9 @@
     def submit(
         self, ticket: int, claim: outcomes.Claim, now: float
     ) -> list[actions.BatcherAction]:
-        """Take in a claim; one ``Settle`` with its ticket answers it.
+        """Accept a claim; one ``Settle`` with its ticket returns its outcome.
 
-        The driver chooses tickets, each once.
+        The driver chooses tickets and uses each only once.
         """
         if self._waiting_count >= self._limits.claims:
             full = outcomes.Unavailable(reason="the batcher is full")
@@ -143,8 +142,8 @@
             work = _ShardWork(number=number, now=now)
             self._work_by_shard[number] = work
         work.used_at = now
-        give_up_at = now + self._limits.patience
-        waiting = _Waiting(claim=claim, give_up_at=give_up_at)
+        expires_at = now + self._limits.patience
+        waiting = _Waiting(claim=claim, expires_at=expires_at)
         work.waiting_by_ticket[ticket] = waiting
         self._waiting_count += 1
         return self._advance(work, now)
@@ -155,9 +154,9 @@
         result: actions.Stored | failure_value.Failure,
         now: float,
     ) -> list[actions.BatcherAction]:
-        """Note the result of a store call.
+        """Handle the result of a store call.
 
-        The result of a call that is no longer waited for is ignored.
+        The result of a call that is not in flight is ignored.
         """
         work = self._work_by_shard.get(shard_value.shard_of_name(call.name))
         if work is None or work.call_by_id.pop(id(call), None) is not call:
@@ -171,10 +170,10 @@
         return due + self._advance(work, now)
 
     def tick(self, now: float) -> list[actions.BatcherAction]:
-        """Give up what waited too long, begin writes that are due."""
+        """Expire claims that waited too long, begin calls that are due."""
         due: list[actions.BatcherAction] = []
         for number, work in list(self._work_by_shard.items()):
-            due += self._give_up(work, now)
+            due += self._expire(work, now)
             due += self._advance(work, now)
             is_idle = now - work.used_at > self._limits.idle
             if is_idle and not work.waiting_by_ticket and not work.call_by_id:
@@ -184,7 +183,7 @@
     def _advance(
         self, work: _ShardWork, now: float
     ) -> list[actions.BatcherAction]:
-        """Begin the next call that the shard's claims need."""
+        """Begin the next store calls that the shard's claims need."""
         is_busy = bool(work.call_by_id) or not work.waiting_by_ticket
         if is_busy or now < work.not_before:
             return []
@@ -216,9 +215,9 @@
     def _seal(self, view: shard_view.ShardView) -> actions.Write:
         """Return the write of the head's entries as a new span.
 
-        The span is stored before the head lets go of its entries. A crash
-        in between leaves a span that nobody counts; the next batcher finds
-        it in its way and takes it over.
+        The span is stored before its entries are removed from the head. A
+        crash in between leaves a span that the head does not include; the
+        next batcher fails to create that span and adopts the stored one.
         """
         return actions.Write(
             name=shard_value.span_name(view.number, view.head.next),
@@ -229,7 +228,7 @@
     def _commit(
         self, work: _ShardWork, now: float
     ) -> list[actions.BatcherAction]:
-        """Settle what is decided already, write what is granted."""
+        """Settle claims already decided, write those that are granted."""
         waiting = itertools.islice(work.waiting_by_ticket.items(), BATCH_CLAIMS)
         batch = {ticket: entry.claim for ticket, entry in waiting}
         decision = work.view.decide(batch, now)
@@ -280,18 +279,18 @@
             return []
         decision = work.decision
         work.decision = None
-        forgotten = self._forgotten(work.view, decision.head)
+        deletes = self._delete_dropped(work.view, decision.head)
         work.view.set_head(result.version, decision.head, now)
         due: list[actions.BatcherAction] = []
         for ticket, claim in decision.granted_by_ticket.items():
             granted = outcomes.Granted(entry=claim.entry)
             due += self._settle(work, ticket, granted)
-        return due + forgotten
+        return due + deletes
 
-    def _forgotten(
+    def _delete_dropped(
         self, view: shard_view.ShardView, head: shard_value.Head
     ) -> list[actions.BatcherAction]:
-        """Return deletes of the spans that the stored head lets go of."""
+        """Return deletes of the spans that the stored head drops."""
         return [
             actions.Delete(
                 name=shard_value.span_name(view.number, span),
@@ -314,37 +313,37 @@
         if failure.code == codes.NOT_FOUND and span is None:
             view.set_head(None, shard_value.EMPTY, now)
             return []
-        if failure.code not in _RETRIED:
+        if failure.code not in _RETRIED_CODES:
             view.is_fresh = False
             return self._refuse_all(work, failure.reason)
         if isinstance(call, actions.Write) and span is not None:
-            # Another batcher wrote this span, or our own write of it took
-            # effect and its answer was lost: go on with what is stored.
+            # Another batcher wrote this span, or the response to this
+            # batcher's own write was lost: continue with the stored span.
             return [self._begin(work, actions.Read(name=call.name))]
-        # Whoever was faster, or our own lost write, has changed the head; a
-        # span that is gone was forgotten under a newer head.
+        # A concurrent batcher, or an own write whose response was lost, has
+        # changed the head. A missing span was deleted under a newer head.
         view.is_fresh = False
         delay = self._limits.retry_delay * self._rng.uniform(0.5, 1.5)
         if failure.code == codes.PLATFORM_BUDGET_SPENT:
-            # Nothing was sent; claims gather for one larger write.
+            # Nothing was sent; claims accumulate for one larger write.
             delay = failure.retry_after or self._limits.write_interval
         work.not_before = now + delay
         return []
 
-    def _give_up(
+    def _expire(
         self, work: _ShardWork, now: float
     ) -> list[actions.BatcherAction]:
         late = [
             ticket
             for ticket, waiting in work.waiting_by_ticket.items()
-            if waiting.give_up_at <= now
+            if waiting.expires_at <= now
         ]
         return self._refuse(work, late, "the claim store is slow")
 
     def _refuse_all(
         self, work: _ShardWork, reason: str
     ) -> list[actions.BatcherAction]:
-        """Refuse at once: a claim that waits holds a slot at its agent."""
+        """Refuse all claims now, since each holds a slot at its agent."""
         return self._refuse(work, list(work.waiting_by_ticket), reason)
 
     def _refuse(
@@ -359,7 +358,7 @@
     def _settle(
         self, work: _ShardWork, ticket: int, outcome: outcomes.Outcome
     ) -> list[actions.BatcherAction]:
-        """Answer a claim once; one that was given up is answered already."""
+        """Settle a claim once; one that has expired is settled already."""
         if work.waiting_by_ticket.pop(ticket, None) is None:
             return []
         self._waiting_count -= 1
--- a/packages/daisypick_core/src/daisypick_core/claims/entry.py
+++ b/packages/daisypick_core/src/daisypick_core/claims/entry.py
@@ -1,8 +1,9 @@
-"""A claim of an idempotency key, as it is stored.
+"""The stored form of a claim of an idempotency key.
 
-An entry says which attempt may run for a key, and at which start of which
-agent. The caller's key itself is not stored: a digest of organisation and key
-stands for it, so that no caller's text reaches the platform or a log.
+An entry names the attempt that may run for a key, with the address and
+incarnation of its agent. The caller's key itself is not stored but replaced
+by a digest of organisation and key, so that no text of a caller reaches the
+platform or a log.
 
 Examples:
     >>> digest_of("union", "k1") == digest_of("union", "k1")
@@ -19,15 +20,15 @@
 
 from daisypick_core.messages import attempt as attempt_message
 
-# Part of the protocol and no setting: two agents with different counts would
-# look for one key in two shards, and both would be granted it.
+# Part of the protocol, not a setting: two agents with different counts would
+# look up one key in two shards and could both be granted it.
 SHARD_COUNT = 64
 
 _DIGEST_BYTES = 16
-_SHARD_BITS_FROM = 4
+_SHARD_DIGEST_CHARACTERS = 4
 
 
-# Stands in an entry for the attempt that gave its key back.
+# Attempt id in the entry of a released key.
 RELEASED = ""
 
 
@@ -35,13 +36,13 @@
     """Which attempt may run for a key.
 
     Attributes:
-        digest: Stands for organisation and key.
-        fingerprint: Hash of the request, to tell reuse of a key.
+        digest: Digest of organisation and key.
+        fingerprint: Hash of the request, which detects reuse of a key.
         attempt_id: The attempt that holds the key, ``RELEASED`` if it is
             free again.
         agent: Address of its agent, ``host:port``.
         incarnation: Incarnation of that agent.
-        epoch: Epoch that the attempt carries.
+        epoch: Epoch of the attempt.
     """
 
     digest: str
@@ -55,8 +56,8 @@
 def digest_of(organisation: str, key: str) -> str:
     """Return the digest of an organisation's key, 22 characters.
 
-    The hash is a cryptographic one: callers choose keys, and must not be
-    able to choose one that collides with another organisation's.
+    The hash is cryptographic because callers choose keys and must not be able
+    to choose one that collides with another organisation's.
     """
     name = organisation.encode()
     text = b"%d:%s%s" % (len(name), name, key.encode())
@@ -66,12 +67,12 @@
 
 def shard_of(digest: str) -> int:
     """Return the number of the shard that a digest belongs to."""
-    head = base64.urlsafe_b64decode(digest[:_SHARD_BITS_FROM])
+    head = base64.urlsafe_b64decode(digest[:_SHARD_DIGEST_CHARACTERS])
     return int.from_bytes(head, "big") % SHARD_COUNT
 
 
 def from_attempt(attempt: attempt_message.Attempt, *, agent: str) -> Entry:
-    """Return the entry by which an agent claims an attempt's key.
+    """Return the entry with which an agent claims an attempt's key.
 
     Raises:
         ValueError: The attempt has no idempotency key.
--- a/packages/daisypick_core/src/daisypick_core/claims/holder.py
+++ b/packages/daisypick_core/src/daisypick_core/claims/holder.py
@@ -1,7 +1,7 @@
-"""What an agent answers when it is asked about a claim that names it.
+"""Handles status queries about attempts that hold a key.
 
-An answer "not run" lets another attempt take the key over, so the gate bars
-the attempt before it says so.
+After a response "not run" another attempt may take over the key, so the gate
+bars the attempt before it responds.
 """
 
 from daisypick_core.claims import entry as claim_entry
@@ -13,10 +13,10 @@
 def answer(
     gate: gate_module.Gate, holder: claim_entry.Entry, now: float
 ) -> tuple[attempts.AttemptStatus, list[actions.Action]]:
-    """Return what became of a holder's attempt, and the gate's actions.
+    """Return the status of a holder's attempt, and the gate's actions.
 
-    An agent that has restarted knows nothing of its predecessor's attempts:
-    they may have run, so it must not answer "not run" for them.
+    A restarted agent has no state of the attempts of its previous
+    incarnation. They may have run, so it must not report them as "not run".
     """
     if holder.incarnation != gate.incarnation:
         return attempts.AttemptStatus(state=attempts.GONE, ran=True), []
--- a/packages/daisypick_core/src/daisypick_core/claims/outcomes.py
+++ b/packages/daisypick_core/src/daisypick_core/claims/outcomes.py
@@ -1,4 +1,4 @@
-"""What a batcher answers to a claim."""
+"""Claims and a batcher's responses to them."""
 
 import typing
 
@@ -6,12 +6,12 @@
 
 
 class Claim(typing.NamedTuple):
-    """A wish to hold a key.
+    """A request to hold a key.
 
     Attributes:
         entry: The entry to be stored.
-        replaces: An attempt that held the key and, as its agent said, never
-            ran and never will; ``None`` if there is none.
+        replaces: An attempt that holds the key and whose agent has reported
+            that it never ran and never will; ``None`` if there is none.
     """
 
     entry: claim_entry.Entry
@@ -19,7 +19,7 @@
 
 
 class Granted(typing.NamedTuple):
-    """The entry is stored: its attempt alone may run."""
+    """The entry is stored; only its attempt may run."""
 
     entry: claim_entry.Entry
 
@@ -37,7 +37,7 @@
 
 
 class Unavailable(typing.NamedTuple):
-    """The store cannot be reached; the entry may be stored or not."""
+    """The claim failed; whether the entry is stored is unknown."""
 
     reason: str
 
--- a/packages/daisypick_core/src/daisypick_core/claims/pick.py
+++ b/packages/daisypick_core/src/daisypick_core/claims/pick.py
@@ -1,9 +1,9 @@
-"""Which agent is the batcher of a shard.
+"""Selects the batcher of a shard by rendezvous hashing.
 
-Rendezvous hashing: everybody who sees the same agents picks the same one,
-and a change of the agents moves only the shards of those that came or went.
-The pick is advice. Two batchers of a shard at once cost retries and nothing
-else, since the conditional update decides.
+Agents with the same list of agents pick the same batcher, and a change of the
+list moves only the shards of agents that were added or removed. The choice is
+advisory: two concurrent batchers of a shard cost retries and nothing else,
+since the conditional update decides.
 
 Examples:
     >>> agents = ["10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"]
--- a/packages/daisypick_core/src/daisypick_core/claims/shard.py
+++ b/packages/daisypick_core/src/daisypick_core/claims/shard.py
@@ -1,15 +1,15 @@
 """A shard's objects as values; which claims they grant.
 
-A shard has one *head* object and some *spans*. All claims of the shard go
-through conditional updates of the head, so the head alone decides who holds a
-key. To keep it small, its entries move into a span when it is full: a span
-object is written once and never changed, and the head says which spans count
-(``first`` to ``next`` - 1). A key is looked up in the head, then in the spans
-from the newest to the oldest.
+A shard has one *head* object and several *spans*. All claims of the shard go
+through conditional updates of the head, so the head alone decides which
+attempt holds a key. To keep it small, its entries move into a span when it is
+full: a span is an immutable segment of entries, and the head lists the valid
+spans (``first`` to ``next`` - 1). A key is looked up in the head, then in the
+spans from the newest to the oldest.
 
-Where a span of time begins and ends is so decided by the stored state. No
-clock is compared with another process's clock: a key that straddles the end
-of a span is found in the span before, whoever looks.
+The boundaries of spans are thus defined by the stored state, and clocks of
+different processes are never compared. An entry that moves from the head into
+a span at such a boundary is found by every batcher.
 
 Examples:
     >>> head = Head(first=0, next=2, entries=())
@@ -30,7 +30,7 @@
 from daisypick_core.claims import entry as claim_entry
 from daisypick_core.claims import outcomes
 
-# Entries that a head holds before they move into a span.
+# Number of entries in a head at which they move into a span.
 HEAD_ENTRIES = 64
 
 Entries = tuple[claim_entry.Entry, ...]
@@ -38,12 +38,12 @@
 
 
 class Head(typing.NamedTuple):
-    """The object that decides who holds a key.
+    """The object that decides which attempt holds a key.
 
     Attributes:
-        first: Number of the oldest span that counts.
+        first: Number of the oldest valid span.
         next: Number of the next span to be written.
-        entries: Claims since the last span, one a digest.
+        entries: Claims since the last span, one per digest.
     """
 
     first: int
@@ -52,7 +52,7 @@
 
     @property
     def spans(self) -> range:
-        """Numbers of the spans that count."""
+        """Numbers of the valid spans."""
         return range(self.first, self.next)
 
 
@@ -92,7 +92,7 @@
     """Return the head of a stored value.
 
     Raises:
-        msgspec.DecodeError: ``value`` is no head.
+        msgspec.DecodeError: ``value`` is not a head.
     """
     return _head_decoder.decode(value)
 
@@ -106,7 +106,7 @@
     """Return the entries of a stored span.
 
     Raises:
-        msgspec.DecodeError: ``value`` is no span.
+        msgspec.DecodeError: ``value`` is not a span.
     """
     return _span_decoder.decode(value)
 
@@ -119,10 +119,10 @@
 def decide(
     holder: claim_entry.Entry | None, claim: outcomes.Claim
 ) -> outcomes.Outcome:
-    """Return what a claim gets, given who holds the key now.
+    """Return the outcome of a claim, given the key's current holder.
 
-    A claim that is stored already is granted again: its answer was lost on
-    the way, and asking twice must not turn a grant into a refusal.
+    A claim that is already stored is granted again. Its response may have
+    been lost, and a retry must not turn a grant into a refusal.
     """
     entry = claim.entry
     if holder is None or holder == entry:
@@ -139,8 +139,8 @@
 def without_sealed(head: Head, sealed: EntryByDigest) -> Head:
     """Return the head after span ``next`` with those entries was written.
 
-    The span may be older than the head: another batcher wrote it. What was
-    claimed or taken over since then stays in the head.
+    Another batcher may have written the span, which can then be older than
+    the head. Keys that were claimed or taken over since stay in the head.
     """
     rest = tuple(
         entry for entry in head.entries if sealed.get(entry.digest) != entry
--- a/packages/daisypick_core/src/daisypick_core/claims/shard_view.py
+++ b/packages/daisypick_core/src/daisypick_core/claims/shard_view.py
@@ -1,7 +1,7 @@
-"""What a batcher holds in memory of one shard.
+"""A batcher's cache of the objects of one shard.
 
-It is a cache of stored objects and may be old. That is safe: a grant counts
-only after a conditional update against the version that it was decided on.
+The cache may be outdated. This is safe because a grant takes effect only with
+a conditional update against the version on which it was decided.
 """
 
 from collections.abc import Mapping
@@ -11,19 +11,20 @@
 from daisypick_core.claims import outcomes
 from daisypick_core.claims import shard as shard_value
 
-# How long a key is surely remembered after its claim.
+# Minimum time for which a key is remembered after its claim.
 REMEMBER_SECONDS = 3600.0
 
 
 class Decision(typing.NamedTuple):
-    """What a batch of claims gets, and the head that makes it so.
+    """Outcomes of a batch of claims, and the head that implements them.
 
     A claim in neither mapping lost to another claim of the same batch; it
-    is decided when that one is stored.
+    is decided once that one is stored.
 
     Attributes:
-        head: The head to be stored; the same as before if nothing changes.
-        settled_by_ticket: Outcomes that the stored state gives already.
+        head: The head to be stored; unchanged if no claim is granted and no
+            span is added or dropped.
+        settled_by_ticket: Outcomes that follow from the stored state.
         granted_by_ticket: Claims granted once ``head`` is stored.
     """
 
@@ -37,7 +38,7 @@
 
     Attributes:
         number: Number of the shard.
-        is_fresh: Whether the head may be decided on.
+        is_fresh: Whether the head is usable for decisions.
         version: Version of the head, ``None`` if the object is missing.
         head: The head.
     """
@@ -55,7 +56,7 @@
     def set_head(
         self, version: str | None, head: shard_value.Head, now: float
     ) -> None:
-        """Take a head that was read or written."""
+        """Set the head after it was read or written."""
         self.is_fresh = True
         self.version = version
         self.head = head
@@ -69,12 +70,12 @@
     def set_span(
         self, span: int, version: str, entries: shard_value.Entries
     ) -> None:
-        """Take a span that was read or written; it never changes."""
+        """Add a span that was read or written; spans are immutable."""
         self._entries_by_span[span] = shard_value.by_digest(entries)
         self._version_by_span[span] = version
 
     def missing_spans(self) -> list[int]:
-        """Return the spans that count and are not held yet, newest first."""
+        """Return the valid spans that are not cached yet, newest first."""
         return [
             span
             for span in reversed(self.head.spans)
@@ -82,17 +83,17 @@
         ]
 
     def has_span(self, span: int) -> bool:
-        """Tell whether a span is held."""
+        """Return whether a span is cached."""
         return span in self._entries_by_span
 
     def version_of_span(self, span: int) -> str | None:
-        """Return the version of a span that is held."""
+        """Return the version of a cached span."""
         return self._version_by_span.get(span)
 
     def decide(
         self, claim_by_ticket: Mapping[int, outcomes.Claim], now: float
     ) -> Decision:
-        """Return what the claims get and the head that grants it."""
+        """Return the outcomes of the claims and the head that grants them."""
         head = self.head
         if self.has_span(head.next):
             sealed = self._entries_by_span[head.next]
@@ -108,7 +109,9 @@
                 if new_by_digest[digest] == claim.entry:
                     granted[ticket] = claim
                 continue
-            holder = open_by_digest.get(digest) or self._sealed(digest, head)
+            holder = open_by_digest.get(digest) or self._find_sealed(
+                digest, head
+            )
             outcome = shard_value.decide(holder, claim)
             if isinstance(outcome, outcomes.Granted) and holder != claim.entry:
                 granted[ticket] = claim
@@ -122,7 +125,7 @@
             granted_by_ticket=granted,
         )
 
-    def _sealed(
+    def _find_sealed(
         self, digest: str, head: shard_value.Head
     ) -> claim_entry.Entry | None:
         """Return the newest sealed entry of a digest."""
@@ -133,12 +136,12 @@
         return None
 
     def _first_to_keep(self, head: shard_value.Head, now: float) -> int:
-        """Return the oldest span that may not be forgotten yet.
+        """Return the oldest span that must be retained.
 
-        Age is measured by watching: this process itself has seen the span
-        sealed for ``REMEMBER_SECONDS`` on its own monotonic clock. Stored
-        times would compare clocks of two processes, and one that is ahead
-        would forget keys too early, so that they run again.
+        A span is dropped after this process has known it as sealed for
+        ``REMEMBER_SECONDS`` on its own monotonic clock. With stored times the
+        clocks of two processes would be compared, and one that is ahead would
+        drop keys too early, so that their requests run again.
         """
         first = head.first
         while first < self.head.next:
--- a/packages/daisypick_core/src/daisypick_core/claims/verdicts.py
+++ b/packages/daisypick_core/src/daisypick_core/claims/verdicts.py
@@ -1,4 +1,4 @@
-"""What became of an agent's claim, as its gate hears it."""
+"""Verdicts on an agent's claim, as reported to its gate."""
 
 import typing
 
@@ -8,11 +8,11 @@
 
 
 class Granted(typing.NamedTuple):
-    """The attempt alone may run for its key."""
+    """Only this attempt may run for its key."""
 
     @property
     def refusal(self) -> None:
-        """Nothing refuses the attempt."""
+        """``None``, since the attempt is not refused."""
         return None
 
 
@@ -23,17 +23,17 @@
 
 
 class SameAnswer(typing.NamedTuple):
-    """Another attempt of the key runs or ran: its answer is the answer.
+    """Another attempt of the key runs or ran; its response is used.
 
-    The attempt itself must not run. Its agent relays the holder's answer
-    from the first byte; where it cannot, the refusal is the answer.
+    The attempt itself must not run. Its agent relays the holder's response
+    from the first byte; if it cannot, it returns the refusal.
     """
 
     holder: claim_entry.Entry
 
     @property
     def refusal(self) -> failure_value.Failure:
-        """What is said if the holder's answer cannot be had."""
+        """The failure returned if the holder's response is not available."""
         return failure_value.Failure(
             code=codes.KEY_IN_PROGRESS,
             reason="another call with this key was there first",
--- a/packages/daisypick_core/tests/claims/test_at_most_once.py
+++ b/packages/daisypick_core/tests/claims/test_at_most_once.py
@@ -1,10 +1,10 @@
-"""A machine that drives gates, claimants and batchers through faults.
+"""State machine test of gates, claimants and batchers under faults.
 
 Two agents with their gates, claimants and batchers share a store in memory.
-Every message between them waits in a bag and is delivered, delayed, doubled
-or lost as Hypothesis likes; a paused process is one whose messages wait. Time
-moves on while they do, agents restart, drain and come back, the store is down
-or loses answers. Callers send a key through several routers.
+Every message between them is queued and then delivered, delayed, duplicated
+or lost as Hypothesis chooses; delayed messages also model a paused process.
+Meanwhile time advances, agents restart, drain and reopen, and the store is
+down or loses responses. Callers send one key through several routers.
 """
 
 import functools
@@ -35,23 +35,24 @@
 AGENTS = ("10.0.0.1:80", "10.0.0.2:80")
 KEYS = "kkkkklmn"
 STORE_STATES = ("up", "up", "up", "loses answers", "loses calls", "down")
-# Rare faults leave time for what they disturb.
+# Rare faults leave time for the operations that they affect.
 RARELY = strategies.sampled_from((False, False, False, True))
 ANSWER = "answer"
 PAUSES = (0.05, 0.5, 3.0, 61.0, 61.0)
-# A run ends before a key may be forgotten: until then, once is once.
+# A run ends before keys may be dropped, since at-most-once execution is
+# guaranteed only until then.
 LAST_SECOND = shard_view.REMEMBER_SECONDS - 100.0
 
 
 def is_stale(due):
-    """Tell whether an offer was refused for its age or its address."""
+    """Return whether an offer was refused for its epoch or incarnation."""
     refusals = [a.failure.code for a in due if isinstance(a, actions.Refuse)]
     stale = {codes.STALE_EPOCH, codes.STALE_INCARNATION}
     return bool(stale.intersection(refusals))
 
 
 class Process:
-    """One start of one agent."""
+    """One incarnation of one agent."""
 
     def __init__(self, address, start, now):
         self.address = address
@@ -64,13 +65,13 @@
         )
         self.gate.tick(now)
         self.claimant = claimant.Claimant(agent=address)
-        # Each takes itself for the batcher at first: two at once.
+        # Each initially considers itself the batcher: two at once.
         self.claimant.set_agents([address])
         self.batcher = batcher.Batcher(rng=random.Random(start))
 
 
 class Fleet(stateful.RuleBasedStateMachine):
-    """Callers, two agents, a store, and what is under way between them."""
+    """Callers, two agents, a store, and the messages in transit."""
 
     def __init__(self):
         super().__init__()
@@ -85,12 +86,12 @@
         }
         self.restarts = 0
         self.sent = []
-        self.heard = {}
-        self.told = {}
+        self.is_connected = {}
+        self.reported = {}
         self.starts = []
         self.delivered = set()
-        self.bag = []
-        self.late = []
+        self.in_transit = []
+        self.delayed = []
         self.tickets = {}
         self.ticket_numbers = itertools.count()
 
@@ -100,11 +101,11 @@
         finally:
             shard.HEAD_ENTRIES, claim_entry.SHARD_COUNT = self.original
 
-    # What the drivers do.
+    # Drivers.
 
     def post(self, work, *arguments, on_loss=None):
-        """Put a message under way."""
-        self.bag.append((functools.partial(work, *arguments), on_loss))
+        """Enqueue a message."""
+        self.in_transit.append((functools.partial(work, *arguments), on_loss))
 
     def perform_gate(self, process, due):
         for action in due:
@@ -117,7 +118,7 @@
                 due = process.claimant.claim(attempt, self.now)
                 self.perform_claimant(process, due)
             elif isinstance(action, actions.Refuse):
-                self.tell(attempt, action.failure.ran)
+                self.report(attempt, action.failure.ran)
                 if action.release_claim:
                     due = process.claimant.release(attempt)
                     self.perform_claimant(process, due)
@@ -130,8 +131,12 @@
             elif isinstance(action, claim_actions.Release):
                 self.post(self.deliver_release, action)
             elif isinstance(action, claim_actions.Ask):
-                silent = functools.partial(self.hear, process, action, None)
-                self.post(self.deliver_ask, process, action, on_loss=silent)
+                no_response = functools.partial(
+                    self.status_received, process, action, None
+                )
+                self.post(
+                    self.deliver_ask, process, action, on_loss=no_response
+                )
             else:
                 refusal = action.verdict.refusal
                 due = process.gate.claim_settled(
@@ -158,12 +163,12 @@
             else:
                 self.post(self.call_store, process, action)
 
-    def tell(self, attempt, told):
-        if self.heard.get(attempt.attempt_id):
-            self.told[attempt.attempt_id] = told
-            self.heard[attempt.attempt_id] = False
+    def report(self, attempt, reported):
+        if self.is_connected.get(attempt.attempt_id):
+            self.reported[attempt.attempt_id] = reported
+            self.is_connected[attempt.attempt_id] = False
 
-    # Messages on delivery.
+    # Delivery of messages.
 
     def deliver_offer(self, attempt, agent):
         process = self.process_by_address[agent]
@@ -174,8 +179,8 @@
         is_copy = attempt.attempt_id in self.delivered
         self.delivered.add(attempt.attempt_id)
         if is_copy and is_stale(due):
-            # An earlier copy may have run before the restart, or in an epoch
-            # that is forgotten: the router takes this for "unknown".
+            # An earlier copy may have run before the restart or in an epoch
+            # since removed, so the router treats this refusal as "unknown".
             return
         self.perform_gate(process, due)
 
@@ -219,10 +224,10 @@
         process = self.process_by_address[ask.holder.agent]
         status, due = holder_module.answer(process.gate, ask.holder, self.now)
         self.perform_gate(process, due)
-        silent = functools.partial(self.hear, owner, ask, None)
-        self.post(self.hear, owner, ask, status, on_loss=silent)
+        no_response = functools.partial(self.status_received, owner, ask, None)
+        self.post(self.status_received, owner, ask, status, on_loss=no_response)
 
-    def hear(self, owner, ask, status):
+    def status_received(self, owner, ask, status):
         if owner.is_alive:
             due = owner.claimant.answered(
                 ask.attempt_id, ask.holder, status, self.now
@@ -259,78 +264,78 @@
             fingerprint=fingerprint,
         )
         self.sent.append((attempt, agent))
-        self.heard[attempt.attempt_id] = True
+        self.is_connected[attempt.attempt_id] = True
         self.post(self.deliver_offer, attempt, agent)
         if is_doubled:
-            self.late.append(self.bag[-1])
+            self.delayed.append(self.in_transit[-1])
         self.run(steps)
 
     @stateful.precondition(lambda self: self.sent)
     @stateful.rule(data=strategies.data())
     def ask(self, data):
         attempt, agent = data.draw(strategies.sampled_from(self.sent))
-        self.ask_for(attempt, agent)
+        self.query(attempt, agent)
 
-    def ask_for(self, attempt, agent):
-        """Let a router ask, on a fresh connection, or withdraw."""
+    def query(self, attempt, agent):
+        """Let a router query or withdraw an attempt on a new connection."""
         attempt_id = attempt.attempt_id
-        if attempt_id in self.told:
+        if attempt_id in self.reported:
             return
         process = self.process_by_address[agent]
         if process.gate.incarnation != attempt.incarnation:
-            self.told[attempt_id] = codes.RAN_UNKNOWN
+            self.reported[attempt_id] = codes.RAN_UNKNOWN
             return
         status, due = process.gate.withdraw(
             attempt_id, self.now, epoch=attempt.epoch
         )
         if status.state == attempts.DONE:
-            self.told[attempt_id] = ANSWER
+            self.reported[attempt_id] = ANSWER
         elif not status.ran:
-            self.told[attempt_id] = codes.RAN_NO
+            self.reported[attempt_id] = codes.RAN_NO
         elif status.state == attempts.FORGOTTEN:
-            self.told[attempt_id] = codes.RAN_UNKNOWN
+            self.reported[attempt_id] = codes.RAN_UNKNOWN
         else:
-            self.heard[attempt_id] = True
+            self.is_connected[attempt_id] = True
         self.perform_gate(process, due)
 
     @stateful.precondition(lambda self: self.sent)
     @stateful.rule(data=strategies.data())
     def cut(self, data):
         attempt, _ = data.draw(strategies.sampled_from(self.sent))
-        self.heard[attempt.attempt_id] = False
+        self.is_connected[attempt.attempt_id] = False
 
     # Rules: the network.
 
-    @stateful.precondition(lambda self: self.bag)
+    @stateful.precondition(lambda self: self.in_transit)
     @stateful.rule(count=strategies.integers(1, 16))
     def run_on(self, count):
         self.run(count)
 
     def run(self, count):
-        """Deliver messages in order, with those that they lead to."""
-        while count and self.bag:
-            self.bag.pop(0)[0]()
+        """Deliver messages in order, including those that they cause."""
+        while count and self.in_transit:
+            self.in_transit.pop(0)[0]()
             count -= 1
 
-    @stateful.precondition(lambda self: self.bag)
+    @stateful.precondition(lambda self: self.in_transit)
     @stateful.rule(data=strategies.data())
     def delay(self, data):
-        place = data.draw(strategies.integers(0, len(self.bag) - 1))
-        self.late.append(self.bag.pop(place))
+        place = data.draw(strategies.integers(0, len(self.in_transit) - 1))
+        self.delayed.append(self.in_transit.pop(place))
 
-    @stateful.precondition(lambda self: self.late)
+    @stateful.precondition(lambda self: self.delayed)
     @stateful.rule(data=strategies.data())
     def deliver_late(self, data):
-        place = data.draw(strategies.integers(0, len(self.late) - 1))
-        self.late.pop(place)[0]()
+        place = data.draw(strategies.integers(0, len(self.delayed) - 1))
+        self.delayed.pop(place)[0]()
 
-    @stateful.precondition(lambda self: self.bag)
+    @stateful.precondition(lambda self: self.in_transit)
     @stateful.rule(data=strategies.data())
     def lose(self, data):
-        losable = [entry for entry in self.bag if entry[1] is not None]
+        losable = [entry for entry in self.in_transit if entry[1] is not None]
         if losable:
             entry = data.draw(strategies.sampled_from(losable))
-            self.bag.remove(entry)
+            self.in_transit.remove(entry)
             entry[1]()
 
     # Rules: time, processes, the store.
@@ -352,7 +357,7 @@
         process = self.process_by_address[agent]
         for attempt_id, attempt in list(process.running.items()):
             del process.running[attempt_id]
-            self.tell(attempt, ANSWER)
+            self.report(attempt, ANSWER)
             due = process.gate.finish(
                 attempt_id, cost=1.0, is_healthy=True, now=self.now
             )
@@ -368,7 +373,7 @@
         self.process_by_address[agent] = process
         for attempt, place in self.sent:
             if place == agent:
-                self.heard[attempt.attempt_id] = False
+                self.is_connected[attempt.attempt_id] = False
 
     @stateful.rule(
         agent=strategies.sampled_from(AGENTS), is_alone=strategies.booleans()
@@ -390,7 +395,7 @@
         self.store.loses_answers = state == "loses answers"
         self.store.loses_calls = state == "loses calls"
 
-    # What must hold.
+    # Invariants.
 
     @stateful.invariant()
     def runs_at_most_once(self):
@@ -400,15 +405,15 @@
     @stateful.invariant()
     def not_run_is_true(self):
         for attempt in self.starts:
-            told = self.told.get(attempt.attempt_id)
-            assert told != codes.RAN_NO
+            reported = self.reported.get(attempt.attempt_id)
+            assert reported != codes.RAN_NO
 
     def settle(self):
-        """Without further faults, everybody must get an answer."""
+        """Check that every attempt is resolved without further faults."""
         self.disturb_store("up")
         for agent in AGENTS:
             self.drain(agent, False)
-        self.bag += self.late
+        self.in_transit += self.delayed
         for _ in range(2 * len(self.sent) + 10):
             self.run(10_000)
             self.now += 0.5
@@ -417,8 +422,8 @@
             for agent in AGENTS:
                 self.finish(agent)
         for attempt, agent in self.sent:
-            self.ask_for(attempt, agent)
-            assert attempt.attempt_id in self.told
+            self.query(attempt, agent)
+            assert attempt.attempt_id in self.reported
         self.runs_at_most_once()
         self.not_run_is_true()
         for process in self.process_by_address.values():
--- a/packages/daisypick_core/tests/claims/test_batcher.py
+++ b/packages/daisypick_core/tests/claims/test_batcher.py
@@ -28,15 +28,15 @@
     return batcher.Batcher(rng=random.Random(1))
 
 
-class Desk:
-    """Carries out a batcher's calls on a store and notes its outcomes."""
+class BatcherDriver:
+    """Performs a batcher's calls on a store and records its outcomes."""
 
     def __init__(self, store, subject=None):
         self.store = store
         self.subject = subject or make_batcher()
         self.now = 0.0
         self.outcome_by_ticket = {}
-        self.held = []
+        self.pending = []
 
     def submit(self, ticket, claim):
         self.run(self.subject.submit(ticket, claim, self.now))
@@ -65,83 +65,83 @@
         return self.outcome_by_ticket[ticket]
 
 
-def test_first_claim_is_granted_and_others_are_told_its_holder():
-    desk = Desk(memory_store.MemoryStore())
+def test_first_claim_is_granted_and_others_receive_its_holder():
+    driver = BatcherDriver(memory_store.MemoryStore())
     first = make_claim("x")
-    assert desk.claim(first) == outcomes.Granted(entry=first.entry)
-    assert desk.claim(first) == outcomes.Granted(entry=first.entry)
-    assert desk.claim(make_claim("y")) == outcomes.Held(holder=first.entry)
-    reused = desk.claim(make_claim("z", fingerprint="g"))
+    assert driver.claim(first) == outcomes.Granted(entry=first.entry)
+    assert driver.claim(first) == outcomes.Granted(entry=first.entry)
+    assert driver.claim(make_claim("y")) == outcomes.Held(holder=first.entry)
+    reused = driver.claim(make_claim("z", fingerprint="g"))
     assert reused == outcomes.KeyReused(holder=first.entry)
-    assert isinstance(desk.claim(make_claim("w", key="l")), outcomes.Granted)
-    assert desk.store.writes == 2
+    assert isinstance(driver.claim(make_claim("w", key="l")), outcomes.Granted)
+    assert driver.store.writes == 2
 
 
 def test_claim_is_taken_over_only_from_the_attempt_that_never_ran():
-    desk = Desk(memory_store.MemoryStore())
-    desk.claim(make_claim("x"))
+    driver = BatcherDriver(memory_store.MemoryStore())
+    driver.claim(make_claim("x"))
     second = make_claim("y", replaces="x")
-    assert desk.claim(second) == outcomes.Granted(entry=second.entry)
-    third = desk.claim(make_claim("z", replaces="x"))
+    assert driver.claim(second) == outcomes.Granted(entry=second.entry)
+    third = driver.claim(make_claim("z", replaces="x"))
     assert third == outcomes.Held(holder=second.entry)
 
 
-def test_released_key_is_granted_to_the_next():
-    desk = Desk(memory_store.MemoryStore())
-    desk.claim(make_claim("x"))
+def test_released_key_is_granted_to_the_next_claim():
+    driver = BatcherDriver(memory_store.MemoryStore())
+    driver.claim(make_claim("x"))
     released = claim_entry.RELEASED
-    stranger = desk.claim(make_claim(released, replaces="w"))
+    stranger = driver.claim(make_claim(released, replaces="w"))
     assert isinstance(stranger, outcomes.Held)
     assert isinstance(
-        desk.claim(make_claim(released, replaces="x")), outcomes.Granted
+        driver.claim(make_claim(released, replaces="x")), outcomes.Granted
     )
     second = make_claim("y", fingerprint="g")
-    assert desk.claim(second) == outcomes.Granted(entry=second.entry)
+    assert driver.claim(second) == outcomes.Granted(entry=second.entry)
 
 
-def test_lost_answer_is_settled_by_reading_back():
-    # The write takes effect and its answer is lost. Refused as "not run" the
-    # key would stay held by nobody; taken for granted it might not be. The
-    # batcher reads the head back and finds its own entry.
+def test_lost_response_is_resolved_by_reading_the_head():
+    # A write takes effect but its response is lost. A refusal as "not run"
+    # would leave the key held by an attempt that never runs, and a grant may
+    # be wrong. The batcher must read the head, where it finds its own entry.
     store = memory_store.MemoryStore()
-    desk = Desk(store)
-    desk.claim(make_claim("w"))
-    desk.tick()
+    driver = BatcherDriver(store)
+    driver.claim(make_claim("w"))
+    driver.tick()
     store.loses_answers = True
-    desk.submit("x", make_claim("x", key="l"))
-    assert "x" not in desk.outcome_by_ticket
+    driver.submit("x", make_claim("x", key="l"))
+    assert "x" not in driver.outcome_by_ticket
     store.loses_answers = False
-    desk.tick()
-    assert isinstance(desk.outcome_by_ticket["x"], outcomes.Granted)
+    driver.tick()
+    assert isinstance(driver.outcome_by_ticket["x"], outcomes.Granted)
     assert store.writes == 2
 
 
-def test_lost_call_is_not_taken_for_granted():
-    # The write is lost on its way: to the batcher it looks like a lost
-    # answer. Meanwhile another batcher is granted the key. Taken for granted,
-    # the claim would let the key run twice.
+def test_lost_call_is_not_treated_as_a_grant():
+    # A write is lost before it reaches the store, which the batcher cannot
+    # distinguish from a lost response. Meanwhile another batcher grants the
+    # key. A grant of the first claim would let the key run twice.
     store = memory_store.MemoryStore()
-    desk = Desk(store)
-    desk.claim(make_claim("w"))
-    desk.tick()
+    driver = BatcherDriver(store)
+    driver.claim(make_claim("w"))
+    driver.tick()
     store.loses_calls = True
-    desk.submit("x", make_claim("x", replaces="w"))
+    driver.submit("x", make_claim("x", replaces="w"))
     store.loses_calls = False
-    second = Desk(store).claim(make_claim("y", replaces="w"))
+    second = BatcherDriver(store).claim(make_claim("y", replaces="w"))
     assert isinstance(second, outcomes.Granted)
-    desk.tick()
-    assert desk.outcome_by_ticket["x"].holder.attempt_id == "y"
+    driver.tick()
+    assert driver.outcome_by_ticket["x"].holder.attempt_id == "y"
 
 
 def test_two_claims_of_a_key_in_one_batch_are_granted_once():
     store = memory_store.MemoryStore()
-    desk = Desk(store)
-    (read,) = desk.subject.submit("x", make_claim("x"), 0.0)
+    driver = BatcherDriver(store)
+    (read,) = driver.subject.submit("x", make_claim("x"), 0.0)
     for ticket in ("y", "x again"):
-        assert desk.subject.submit(ticket, make_claim(ticket[0]), 0.0) == []
-    desk.run(desk.subject.done(read, store.carry_out(read), 0.0))
-    desk.tick()
-    outcome = desk.outcome_by_ticket
+        assert driver.subject.submit(ticket, make_claim(ticket[0]), 0.0) == []
+    driver.run(driver.subject.done(read, store.carry_out(read), 0.0))
+    driver.tick()
+    outcome = driver.outcome_by_ticket
     assert isinstance(outcome["x"], outcomes.Granted)
     assert outcome["x again"] == outcome["x"]
     assert outcome["y"].holder.attempt_id == "x"
@@ -149,14 +149,14 @@
 
 def test_store_that_is_down_refuses_at_once_and_recovers():
     store = memory_store.MemoryStore()
-    desk = Desk(store)
+    driver = BatcherDriver(store)
     store.is_down = True
-    assert isinstance(desk.claim(make_claim("x")), outcomes.Unavailable)
+    assert isinstance(driver.claim(make_claim("x")), outcomes.Unavailable)
     store.is_down = False
-    assert isinstance(desk.claim(make_claim("x")), outcomes.Granted)
+    assert isinstance(driver.claim(make_claim("x")), outcomes.Granted)
 
 
-def test_store_that_never_answers_is_given_up():
+def test_claim_expires_while_the_store_does_not_respond():
     subject = make_batcher()
     (read,) = subject.submit(1, make_claim("x"), 0.0)
     assert subject.wake_at() == 2.0
@@ -168,7 +168,7 @@
     assert (subject.waiting_count, subject.wake_at()) == (0, None)
 
 
-def test_spent_budget_delays_a_claim_and_does_not_refuse_it():
+def test_exhausted_budget_delays_a_claim_without_refusing_it():
     subject = make_batcher()
     (read,) = subject.submit(1, make_claim("x"), 0.0)
     spent = failure_value.Failure(
@@ -179,19 +179,19 @@
     assert subject.tick(0.7) == [read]
 
 
-def test_two_batchers_at_once_grant_a_key_once():
-    # Two agents take themselves for the batcher of a shard. Both read the
-    # head before either writes. The second write is refused for its version;
-    # read again, the key is held.
+def test_concurrent_batchers_grant_a_key_once():
+    # Two agents both act as the batcher of a shard and read the head before
+    # either writes. The second write fails on a version conflict, and reading
+    # again shows that the key is held.
     store = memory_store.MemoryStore()
-    desks = [Desk(store), Desk(store)]
-    for attempt_id, desk in zip("xy", desks, strict=True):
-        (read,) = desk.subject.submit(attempt_id, make_claim(attempt_id), 0.0)
-        desk.held = desk.subject.done(read, store.carry_out(read), 0.0)
-    for desk in desks:
-        desk.run(desk.held)
-        desk.tick()
-    winner, loser = (desk.outcome_by_ticket for desk in desks)
+    drivers = [BatcherDriver(store), BatcherDriver(store)]
+    for attempt_id, driver in zip("xy", drivers, strict=True):
+        (read,) = driver.subject.submit(attempt_id, make_claim(attempt_id), 0.0)
+        driver.pending = driver.subject.done(read, store.carry_out(read), 0.0)
+    for driver in drivers:
+        driver.run(driver.pending)
+        driver.tick()
+    winner, loser = (driver.outcome_by_ticket for driver in drivers)
     assert isinstance(winner["x"], outcomes.Granted)
     assert loser["y"].holder.attempt_id == "x"
 
@@ -216,7 +216,7 @@
     assert store.writes == 1
 
 
-def fill(desk, count):
+def fill(driver, count):
     """Claim keys of one shard until its head was sealed ``count`` times."""
     number = claim_entry.shard_of(claim_entry.digest_of("union", "k"))
     name = shard.head_name(number)
@@ -226,71 +226,73 @@
         digest = claim_entry.digest_of("union", key)
         if claim_entry.shard_of(digest) != number:
             continue
-        desk.submit(key, make_claim(f"x{key}", key=key))
-        desk.tick(0.2)
-        head = shard.decode_head(desk.store.carry_out(actions.Read(name)).value)
+        driver.submit(key, make_claim(f"x{key}", key=key))
+        driver.tick(0.2)
+        head = shard.decode_head(
+            driver.store.carry_out(actions.Read(name)).value
+        )
         if head.next >= count:
             return head
 
 
 def test_key_is_remembered_across_spans_by_any_batcher(monkeypatch):
-    # A key is claimed; then so many others that its entry moves into a span.
-    # A batcher that has just started must still find it.
+    # After a claim, so many other keys are claimed that its entry moves into
+    # a span. A newly started batcher must still find it.
     monkeypatch.setattr(shard, "HEAD_ENTRIES", 4)
     store = memory_store.MemoryStore()
-    desk = Desk(store)
+    driver = BatcherDriver(store)
     first = make_claim("first")
-    desk.claim(first)
-    head = fill(desk, count=3)
+    driver.claim(first)
+    head = fill(driver, count=3)
     assert head.first == 0
     assert len(head.entries) <= 4
-    for batcher_desk in (desk, Desk(store)):
-        held = batcher_desk.claim(make_claim("y"))
+    for one_driver in (driver, BatcherDriver(store)):
+        held = one_driver.claim(make_claim("y"))
         assert held == outcomes.Held(holder=first.entry)
     second = make_claim("z", replaces="first")
-    assert isinstance(desk.claim(second), outcomes.Granted)
-    held = Desk(store).claim(make_claim("w"))
+    assert isinstance(driver.claim(second), outcomes.Granted)
+    held = BatcherDriver(store).claim(make_claim("w"))
     assert held == outcomes.Held(holder=second.entry)
 
 
-def test_span_left_by_a_crash_is_taken_over(monkeypatch):
-    # A batcher stores a span and dies before the head counts it. Meanwhile a
-    # key of that span changes hands in the head. The next batcher finds the
-    # span in its way: the newer holder must win over the one in the span.
+def test_span_left_by_a_crash_is_adopted(monkeypatch):
+    # A batcher stores a span and crashes before the head includes it.
+    # Meanwhile a key of that span gets another holder in the head. When the
+    # next batcher adopts the span, the newer holder must take precedence.
     monkeypatch.setattr(shard, "HEAD_ENTRIES", 1)
     store = memory_store.MemoryStore()
     first = make_claim("first")
-    Desk(store).claim(first)
+    BatcherDriver(store).claim(first)
     number = claim_entry.shard_of(first.entry.digest)
     span = shard.encode_span([first.entry])
     name = shard.span_name(number, 0)
     monkeypatch.setattr(shard, "HEAD_ENTRIES", 2)
-    Desk(store).claim(make_claim("second", replaces="first"))
+    BatcherDriver(store).claim(make_claim("second", replaces="first"))
     store.carry_out(actions.Write(name, span, None))
     monkeypatch.setattr(shard, "HEAD_ENTRIES", 1)
-    desk = Desk(store)
-    head = fill(desk, count=1)
+    driver = BatcherDriver(store)
+    head = fill(driver, count=1)
     assert head.next >= 1
-    held = desk.claim(make_claim("z"))
+    held = driver.claim(make_claim("z"))
     assert held.holder.attempt_id == "second"
 
 
-def test_span_is_forgotten_only_after_it_was_watched_for_an_hour(monkeypatch):
-    # No stored time and no wall clock takes part: a batcher that has just
-    # started must keep a span, however old it is, for the whole hour.
+def test_span_is_dropped_only_after_it_was_observed_for_an_hour(monkeypatch):
+    # Neither stored times nor wall clocks are used: a newly started batcher
+    # must keep a span of any age for the whole hour.
     monkeypatch.setattr(shard, "HEAD_ENTRIES", 2)
     store = memory_store.MemoryStore()
-    desk = Desk(store)
+    driver = BatcherDriver(store)
     first = make_claim("first")
-    desk.claim(first)
-    fill(desk, count=1)
-    late = Desk(store)
+    driver.claim(first)
+    fill(driver, count=1)
+    late = BatcherDriver(store)
     late.now = 10 * shard_view.REMEMBER_SECONDS
     assert isinstance(late.claim(make_claim("y")), outcomes.Held)
-    desk.tick(shard_view.REMEMBER_SECONDS - 1.0)
-    assert isinstance(desk.claim(make_claim("y")), outcomes.Held)
-    desk.tick(shard_view.REMEMBER_SECONDS)
-    assert isinstance(desk.claim(make_claim("z")), outcomes.Granted)
+    driver.tick(shard_view.REMEMBER_SECONDS - 1.0)
+    assert isinstance(driver.claim(make_claim("y")), outcomes.Held)
+    driver.tick(shard_view.REMEMBER_SECONDS)
+    assert isinstance(driver.claim(make_claim("z")), outcomes.Granted)
     number = claim_entry.shard_of(first.entry.digest)
     assert shard.span_name(number, 0) not in store.names
     assert isinstance(late.claim(make_claim("w")), outcomes.Held)
@@ -301,5 +303,5 @@
     claim = make_claim("x")
     name = shard.head_name(claim_entry.shard_of(claim.entry.digest))
     store.carry_out(actions.Write(name, b"{", None))
-    outcome = Desk(store).claim(claim)
+    outcome = BatcherDriver(store).claim(claim)
     assert outcome.reason == f"object {name} is unreadable"
--- a/packages/daisypick_core/tests/claims/test_claimant.py
+++ b/packages/daisypick_core/tests/claims/test_claimant.py
@@ -36,9 +36,9 @@
     return subject, commit, holder
 
 
-def ask(subject, holder):
-    (question,) = subject.committed("x", outcomes.Held(holder=holder), 0.0)
-    assert question == actions.Ask(attempt_id="x", holder=holder)
+def commit_held(subject, holder):
+    (query,) = subject.committed("x", outcomes.Held(holder=holder), 0.0)
+    assert query == actions.Ask(attempt_id="x", holder=holder)
 
 
 def conclusion(due):
@@ -56,9 +56,9 @@
     assert subject.pending_count == 0
 
 
-def test_batcher_that_does_not_answer_is_replaced_by_the_own_one():
-    # The other agent may have stored the claim before it fell silent. The
-    # own batcher finds it stored and grants it again.
+def test_own_batcher_replaces_one_that_does_not_respond():
+    # The other agent may have stored the claim before it stopped responding.
+    # The agent's own batcher then finds it stored and grants it again.
     subject = claimant.Claimant(agent=HERE)
     commit = None
     for n in range(2, 99):
@@ -75,39 +75,40 @@
 
 def test_claim_of_an_attempt_that_never_ran_is_taken_over():
     subject, commit, holder = start()
-    ask(subject, holder)
+    commit_held(subject, holder)
     barred = attempts.AttemptStatus(state=attempts.BARRED, ran=False)
     (again,) = subject.answered("x", holder, barred, 0.0)
     assert again.claim == commit.claim._replace(replaces="y")
 
 
-def test_holder_that_ran_gives_the_same_answer():
+def test_response_of_a_holder_that_ran_is_used():
     for state in (attempts.CLAIMING, attempts.RUNNING, attempts.DONE):
         subject, _, holder = start()
-        ask(subject, holder)
+        commit_held(subject, holder)
         status = attempts.AttemptStatus(state=state, ran=True)
         verdict = conclusion(subject.answered("x", holder, status, 0.0))
         assert verdict == verdicts.SameAnswer(holder=holder)
         assert verdict.refusal.code == codes.KEY_IN_PROGRESS
 
 
-def test_holder_that_is_gone_silent_or_forgetful_means_unknown():
-    # The agent that held the key restarted, or does not answer. Its attempt
-    # may have run: "not run" would let the family book the plot again.
+def test_outcome_is_unknown_if_the_holder_cannot_report_its_status():
+    # The agent that holds the key has restarted, has removed the attempt or
+    # does not respond. The attempt may have run, so a report of "not run"
+    # would let the caller repeat the request.
     gone = attempts.AttemptStatus(state=attempts.GONE, ran=True)
     forgotten = attempts.AttemptStatus(state=attempts.FORGOTTEN, ran=True)
     for status in (gone, forgotten, None):
         subject, _, holder = start()
-        ask(subject, holder)
+        commit_held(subject, holder)
         verdict = conclusion(subject.answered("x", holder, status, 0.0))
         assert verdict.refusal.code == codes.OUTCOME_UNKNOWN
     subject, _, holder = start()
-    ask(subject, holder)
+    commit_held(subject, holder)
     due = subject.tick(claimant.CLAIM_SECONDS)
     assert conclusion(due).refusal.code == codes.OUTCOME_UNKNOWN
 
 
-def test_claim_that_takes_too_long_is_refused_and_its_grant_ignored():
+def test_claim_past_its_deadline_is_refused_and_its_grant_ignored():
     subject, commit, _ = start()
     assert subject.tick(claimant.CLAIM_SECONDS - 1.0) == []
     due = subject.tick(claimant.CLAIM_SECONDS)
@@ -116,12 +117,12 @@
     assert subject.committed("x", granted, 9.0) == []
 
 
-def test_key_that_changes_hands_all_the_time_ends():
+def test_number_of_commits_of_one_claim_is_bounded():
     subject, _, holder = start()
     barred = attempts.AttemptStatus(state=attempts.BARRED, ran=False)
-    for n in range(claimant.MAX_ROUNDS - 1):
+    for n in range(claimant.MAX_COMMITS - 1):
         holder = holder._replace(attempt_id=f"y{n}")
-        ask(subject, holder)
+        commit_held(subject, holder)
         subject.answered("x", holder, barred, 0.0)
     due = subject.committed("x", outcomes.Held(holder=holder), 0.0)
     assert conclusion(due) == verdicts.SameAnswer(holder=holder)
@@ -138,7 +139,7 @@
     assert verdict.refusal.code == codes.STORE_UNAVAILABLE
 
 
-def test_release_replaces_the_own_attempt_and_no_other():
+def test_release_replaces_only_its_own_attempt():
     subject, commit, _ = start()
     (release,) = subject.release(make_attempt())
     assert release.claim.replaces == "x"
