--- a/packages/daisypick_core/src/daisypick_core/fairness/collector.py
+++ b/packages/daisypick_core/src/daisypick_core/fairness/collector.py
@@ -1,13 +1,13 @@
 """Gathers the reports of a data centre's agents and relays them to heads.
 
-A collector decides nothing. It joins its agents' marks, passes on those that
-no head has acknowledged, and answers the agents from what the heads said
-last. Two agents that both collect do no harm, since marks merge in any
-order; when one dies, its agents report to the next, and their reports hold
-all that matters.
+A collector makes no decisions. It joins its agents' marks, forwards to each
+head those that this head has not acknowledged, and responds to the agents
+with the heads' latest values. Two concurrent collectors are harmless, since
+marks merge in any order. When a collector fails, its agents report to the
+next one, and their reports contain the complete state.
 
 See Also:
-    ``daisypick_core.fairness.head``: what becomes of the marks.
+    ``daisypick_core.fairness.head``: how heads process the marks.
 """
 
 import collections
@@ -25,25 +25,25 @@
 _SWEEP_SECONDS = 60.0
 
 
-class _Agent:
-    """The last state of one reporting agent."""
+class _AgentState:
+    """The latest state of one reporting agent."""
 
     def __init__(self) -> None:
         self.sequence = -1
         self.waiting: frozenset[str] = frozenset()
 
 
-class _Known(typing.NamedTuple):
-    """What the head in use said last of an organisation."""
+class _HeadValue(typing.NamedTuple):
+    """The latest values of an organisation from its head in use."""
 
     head: str
     virtual: float
     reach: int
-    heard_at: float
+    received_at: float
 
 
 class Collector:
-    """Marks of a data centre's agents on their way to the heads."""
+    """Relays the marks of a data centre's agents to the heads."""
 
     def __init__(
         self,
@@ -59,8 +59,8 @@
         self._period = period
         self._fan_in = fan_in.FanIn(period=period)
         self._tally = tally.Tally()
-        self._agent_by_incarnation: dict[str, _Agent] = {}
-        self._known_by_organisation: dict[str, _Known] = {}
+        self._agent_by_incarnation: dict[str, _AgentState] = {}
+        self._value_by_organisation: dict[str, _HeadValue] = {}
         self._view_by_head: dict[str, head_view.HeadView] = {}
         self._largest = 0.0
         self._sequence = 0
@@ -72,10 +72,10 @@
     def receive(
         self, report: reports.AgentReport, now: float
     ) -> reports.AgentAnswer:
-        """Take in an agent's report and answer it."""
+        """Merge an agent's report and return the response."""
         self._sweep(now)
         self._largest = max(self._largest, report.largest)
-        self._note_agent(report, now)
+        self._record_agent(report, now)
         for row in report.rows:
             mark = tally.Mark(served=row.served, included=row.included)
             self._tally.merge(report.incarnation, row.organisation, mark, now)
@@ -108,16 +108,16 @@
     def answered(
         self, head: str, answer: reports.RelayAnswer, now: float
     ) -> None:
-        """Take a head's answer.
+        """Handle a head's response.
 
-        An answer to an earlier report is dropped: what it acknowledges is
-        sent again, which changes nothing at the head.
+        A response to an earlier report is dropped: the marks that it
+        acknowledges are sent again, which has no effect at the head.
         """
         view = self._view(head)
         if answer.sequence != view.sent_sequence:
             return
         if view.incarnation not in ("", answer.head):
-            # The head has restarted and took nothing in: send all anew.
+            # The head has restarted and discarded the report: resend all.
             self._view_by_head[head] = head_view.HeadView()
             self._view_by_head[head].incarnation = answer.head
             return
@@ -125,41 +125,41 @@
         view.settled_at = float("inf")
         if answer.settled_for > 0.0:
             view.settled_at = now - answer.settled_for
-        view.heard_at = now
+        view.received_at = now
         view.agents = answer.agents
         view.fleet_time = answer.fleet_time
         view.active_share = answer.active_share
         view.next_report_at = now + answer.next_report_in
         view.acknowledged.update(view.sent)
-        self._take_rows(head, view, answer.rows, now)
+        self._store_values(head, view, answer.rows, now)
         view.sent = {}
 
     def retry(self, head: str, now: float) -> None:
-        """Make the report to a head due again; its last one got lost."""
+        """Make a report to a head due now, since its last one was lost."""
         self._view(head).next_report_at = now
 
     def _view(self, head: str) -> head_view.HeadView:
         return self._view_by_head.setdefault(head, head_view.HeadView())
 
-    def _take_rows(
+    def _store_values(
         self,
         head: str,
         view: head_view.HeadView,
         rows: Iterable[reports.HeadRow],
         now: float,
     ) -> None:
-        """Take the values of a head for the organisations it answers for."""
+        """Store a head's values of organisations for which it is in use."""
         used: set[str] = set()
         answer_head = view.incarnation
         for row in rows:
             if self._head_in_use(row.organisation, now) != head:
                 continue
-            before = self._known_by_organisation.get(row.organisation)
-            self._known_by_organisation[row.organisation] = _Known(
+            before = self._value_by_organisation.get(row.organisation)
+            self._value_by_organisation[row.organisation] = _HeadValue(
                 head=answer_head,
                 virtual=row.virtual,
                 reach=row.reach,
-                heard_at=now,
+                received_at=now,
             )
             if before is None or before.head != answer_head:
                 self._acknowledge_all(row.organisation, view)
@@ -171,10 +171,11 @@
     def _acknowledge_all(
         self, organisation: str, view: head_view.HeadView
     ) -> None:
-        """Note all that a head which is now in use has counted before.
+        """Acknowledge all that a head which is now in use has counted.
 
-        What it counted while the other was in use is in its value as well;
-        left unacknowledged, it would be counted twice by the next head.
+        Its value includes the marks that it counted while the other head was
+        in use. If they stayed unacknowledged, the next head would count them
+        twice.
         """
         for key, _ in list(self._tally.of(organisation)):
             served = view.acknowledged.get(key)
@@ -182,12 +183,12 @@
                 self._tally.acknowledge(key, served)
 
     def _head_in_use(self, organisation: str, now: float) -> str | None:
-        """Return the head whose values are believed.
+        """Return the head whose values are used.
 
         Each organisation has two heads that count the same marks, so that no
-        value has to be carried over when one dies or messages are lost. The
-        one that has counted longer is believed; a head that comes back after
-        a restart has missed some growth, and would bring a lasting error.
+        value has to be transferred when one fails or messages are lost. The
+        one that has been counting longer is used: a restarted head has missed
+        some growth, which would cause a permanent error.
         """
         fresh = [
             head
@@ -200,20 +201,22 @@
         oldest = min(settled_at)
         if oldest == float("inf"):
             return fresh[0]
-        # Heads that began together are told apart by rank, not by jitter.
-        margin = self._fan_in.silence
+        # Heads that settled at about the same time are chosen by rank, so
+        # that jitter does not alternate between them.
+        margin = self._fan_in.timeout
         return next(
             head
             for head, moment in zip(fresh, settled_at, strict=True)
             if moment <= oldest + margin
         )
 
-    def _note_agent(self, report: reports.AgentReport, now: float) -> None:
+    def _record_agent(self, report: reports.AgentReport, now: float) -> None:
         self._fan_in.note(report.incarnation, now, rows=len(report.rows))
         agent = self._agent_by_incarnation.setdefault(
-            report.incarnation, _Agent()
+            report.incarnation, _AgentState()
         )
-        # A late report must not bring back who waited a while ago.
+        # A late report must not replace the newer set of waiting
+        # organisations.
         if report.sequence > agent.sequence:
             agent.sequence = report.sequence
             agent.waiting = frozenset(
@@ -225,29 +228,29 @@
     ) -> list[reports.FleetRow]:
         rows = []
         for row in report.rows:
-            known = self._known_by_organisation.get(row.organisation)
+            value = self._value_by_organisation.get(row.organisation)
             mark = self._tally.get(
                 tally.Key(report.incarnation, row.organisation)
             )
-            # A value from long ago must not meet a virtual time of now.
-            if known is None or not self._is_recent(known.heard_at, now):
+            # An old value must not be compared with the current virtual time.
+            if value is None or not self._is_recent(value.received_at, now):
                 continue
             assert mark is not None
             rows.append(
                 reports.FleetRow(
                     organisation=row.organisation,
-                    virtual=known.virtual,
+                    virtual=value.virtual,
                     included=mark.included,
-                    reach=known.reach,
+                    reach=value.reach,
                 )
             )
         return rows
 
-    def _is_recent(self, heard_at: float, now: float) -> bool:
-        return now - heard_at <= self._fan_in.silence
+    def _is_recent(self, received_at: float, now: float) -> bool:
+        return now - received_at <= self._fan_in.timeout
 
     def _is_fresh(self, view: head_view.HeadView, now: float) -> bool:
-        return self._is_recent(view.heard_at, now)
+        return self._is_recent(view.received_at, now)
 
     def _fresh_views(self, now: float) -> list[head_view.HeadView]:
         return [
@@ -257,10 +260,10 @@
         ]
 
     def _count_reach(self) -> collections.Counter[str]:
-        """Count the agents at which each organisation waits."""
+        """Return the number of agents at which each organisation waits."""
         reach: collections.Counter[str] = collections.Counter()
         for incarnation, agent in self._agent_by_incarnation.items():
-            if self._fan_in.is_heard(incarnation):
+            if self._fan_in.is_active(incarnation):
                 reach.update(agent.waiting)
         return reach
 
@@ -309,12 +312,12 @@
     def _values_for(
         self, view: head_view.HeadView, organisations: Iterable[str]
     ) -> dict[str, float]:
-        """Return the values of other heads, which this one can follow."""
+        """Return the values of other heads for this one to adopt."""
         return {
-            organisation: self._known_by_organisation[organisation].virtual
+            organisation: self._value_by_organisation[organisation].virtual
             for organisation in sorted(organisations)
-            if organisation in self._known_by_organisation
-            and self._known_by_organisation[organisation].head
+            if organisation in self._value_by_organisation
+            and self._value_by_organisation[organisation].head
             != view.incarnation
         }
 
@@ -329,10 +332,10 @@
         self._agent_by_incarnation = {
             incarnation: agent
             for incarnation, agent in self._agent_by_incarnation.items()
-            if self._fan_in.is_heard(incarnation)
+            if self._fan_in.is_active(incarnation)
         }
-        self._known_by_organisation = {
-            organisation: known
-            for organisation, known in self._known_by_organisation.items()
-            if known.heard_at >= moment
+        self._value_by_organisation = {
+            organisation: value
+            for organisation, value in self._value_by_organisation.items()
+            if value.received_at >= moment
         }
--- a/packages/daisypick_core/src/daisypick_core/fairness/estimators.py
+++ b/packages/daisypick_core/src/daisypick_core/fairness/estimators.py
@@ -1,12 +1,13 @@
-"""The registered ways to expect a request's cost, in tokens.
+"""The registered estimators of a request's cost, in tokens.
 
-The true cost is known only at the end, and hints about it are off by up to
-8 times in either direction. The estimate decides what is charged while a
-request runs; errors are repaired at its end, so they move service in time
-and never add up. A learned mean does this with less noise than the hints.
+The actual cost is known only at the end of a request, and hints about it are
+off by a factor of up to 8 in either direction. The estimate determines the
+charge while a request runs. Errors are corrected at its end, so they shift
+service in time but do not accumulate. A learned mean is less noisy than the
+hints.
 
 Means are kept per service and organisation, up to a bound; the least
-recently used are forgotten first and fall back to the service's mean.
+recently used are evicted first, and the service's mean then applies.
 
 Examples:
     >>> estimator = LearnedMean()
@@ -28,18 +29,18 @@
 
 
 class Estimator(typing.Protocol):
-    """Expects costs and learns from true ones."""
+    """Estimates costs and learns from actual ones."""
 
     def estimate(
         self, service: str, organisation: str, *, hint: float
     ) -> float:
-        """Return the expected cost of a request."""
+        """Return the estimated cost of a request."""
         ...
 
     def learn(
         self, service: str, organisation: str, *, hint: float, cost: float
     ) -> None:
-        """Take the true cost of a request that ended."""
+        """Update the estimator with the actual cost of a request."""
         ...
 
 
@@ -59,7 +60,7 @@
 
 
 class _BoundedMeans:
-    """Moving means by key; the least recently used are forgotten."""
+    """Moving means by key with eviction of the least recently used."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
@@ -86,7 +87,7 @@
 
 @register("hint")
 class Hint:
-    """Believe the hint."""
+    """Use the hint as the estimate."""
 
     def estimate(
         self, service: str, organisation: str, *, hint: float
@@ -98,13 +99,13 @@
     def learn(
         self, service: str, organisation: str, *, hint: float, cost: float
     ) -> None:
-        """Learn nothing."""
+        """Ignore the actual cost."""
         del service, organisation, hint, cost
 
 
 @register("learned_mean")
 class LearnedMean:
-    """Expect the mean cost of the organisation at the service."""
+    """Use the mean cost of the organisation at the service."""
 
     def __init__(self, *, limit: int = DEFAULT_LIMIT) -> None:
         self._means = _BoundedMeans(limit)
@@ -125,7 +126,7 @@
     def learn(
         self, service: str, organisation: str, *, hint: float, cost: float
     ) -> None:
-        """Move the means of the organisation and of the service."""
+        """Update the means of the organisation and of the service."""
         del hint
         self._means.learn((service, organisation), cost)
         self._means.learn((service, ""), cost)
@@ -135,8 +136,8 @@
 class CorrectedHint:
     """Multiply the hint by the mean ratio of cost to hint.
 
-    A hint that is off by much still tells large requests from small ones,
-    which no mean does; the ratio takes out what is steadily wrong.
+    Even an inaccurate hint distinguishes large requests from small ones,
+    which a mean cannot do; the ratio removes the hint's systematic error.
     """
 
     def __init__(self, *, limit: int = DEFAULT_LIMIT) -> None:
@@ -157,10 +158,10 @@
     def learn(
         self, service: str, organisation: str, *, hint: float, cost: float
     ) -> None:
-        """Move the means of costs and of hints.
+        """Update the means of costs and of hints.
 
-        Their ratio is learned rather than the mean of single ratios, which
-        one tiny hint would throw off.
+        The ratio of the two means is used rather than the mean of individual
+        ratios, which a single tiny hint would distort.
         """
         if hint <= 0.0:
             return
--- a/packages/daisypick_core/src/daisypick_core/fairness/head.py
+++ b/packages/daisypick_core/src/daisypick_core/fairness/head.py
@@ -1,10 +1,10 @@
-"""Adds up the service of a part of a service's organisations.
+"""Aggregates the service of a subset of a service's organisations.
 
-A head receives agents' marks from the collectors and turns their growth into
-virtual service. All its state is soft. Marks make every addition idempotent.
-Each organisation has two heads, which count the same. The one that has
-counted longer is in use; the other is told its values and follows them, so
-that it can take its place.
+A head receives agents' marks from the collectors and converts their growth
+into virtual service. All its state is soft state, and marks make every
+addition idempotent. Each organisation has two heads that count the same
+marks. The one that has been counting longer is in use; the other receives its
+values and adopts them, so that it can take over.
 
 Examples:
     >>> head = Head(incarnation="h", share_by_organisation={"union": 2.0})
@@ -33,18 +33,18 @@
 from daisypick_core.fairness import tally
 from daisypick_core.fairness import virtual_service
 
-# A partition between regions lasts minutes. A head that is cut off and comes
-# back still knows what it counted before, and so counts nothing twice.
+# Partitions between regions last minutes. A head that reconnects within this
+# time still holds the marks it counted before, and so counts nothing twice.
 RETAIN_SECONDS = 600.0
-# Part of the agents believed to be alive that must report to a new head.
-SETTLE_PART = 1.0 / 3.0
-# Marks that cost as many bytes as one row of a report with its answer.
+# Fraction of the live agents whose reports a new head requires.
+SETTLE_FRACTION = 1.0 / 3.0
+# Marks that take as many bytes as one row of a report and its response.
 MARKS_PER_ROW = 5
 _SWEEP_SECONDS = 60.0
 
 
-class _Source:
-    """The last state of one collector."""
+class _CollectorState:
+    """The latest state of one collector."""
 
     def __init__(self) -> None:
         self.sequence = -1
@@ -53,7 +53,7 @@
 
 
 class Head:
-    """Virtual service by organisation, from collectors' reports."""
+    """Computes virtual service by organisation from collectors' reports."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         self._service = virtual_service.VirtualService(
             share_by_organisation=share_by_organisation
         )
-        self._source_by_incarnation: dict[str, _Source] = {}
+        self._collector_by_incarnation: dict[str, _CollectorState] = {}
         self._reach: collections.Counter[str] = collections.Counter()
         self._agents = 0
         self._expected_agents = 1
@@ -80,135 +80,147 @@
         return len(self._tally)
 
     def set_shares(self, share_by_organisation: Mapping[str, float]) -> None:
-        """Take the shares of a new configuration."""
+        """Set the shares of a new configuration."""
         self._service.set_shares(share_by_organisation)
 
-    def expect(self, agents: int) -> None:
-        """Take how many agents of the service are believed to be alive."""
+    def set_expected_agents(self, agents: int) -> None:
+        """Set the number of agents of the service considered alive."""
         self._expected_agents = agents
 
     def receive(
         self, report: reports.RelayReport, now: float
     ) -> reports.RelayAnswer:
-        """Take in a collector's report and answer it.
+        """Merge a collector's report and return the response.
 
-        A report that is meant for the predecessor at this address is not
-        taken in. It lacks the values to go on from, so every lag would be
-        forgotten; the answer names this incarnation and they come next.
+        A report for the previous incarnation at this address is discarded. It
+        lacks the other heads' values, without which every lag would be lost.
+        The response names this incarnation, and the next report holds them.
         """
         if report.head not in ("", self._incarnation):
             return self._answer(report, [], now)
         self._sweep(now)
-        self._note_source(report, now)
-        self._note_gap(now)
-        self._service.set_quiet(self._fan_in.silence)
+        self._record_collector(report, now)
+        self._detect_gap(now)
+        self._service.set_idle_seconds(self._fan_in.timeout)
         self._service.note_largest(report.largest)
-        self._note_settling(now)
-        replaced = self._take_values(report, now)
+        self._start_settling(now)
+        replaced = self._adopt_values(report, now)
         self._service.set_reference(report.fleet_time)
         for organisation in report.reach_by_organisation:
             self._service.activate(organisation, now)
         self._merge_rows(report, replaced, now)
         self._service.refresh(self._reach, now)
-        return self._answer(report, self._asked(report), now)
+        return self._answer(report, self._requested_rows(report), now)
 
     def virtual(self, organisation: str) -> float | None:
         """Return the virtual service of an organisation, if known."""
         return self._service.virtual(organisation)
 
-    def _note_gap(self, now: float) -> None:
-        """Settle anew after a time without reports.
+    def _detect_gap(self, now: float) -> None:
+        """Settle again after a gap without reports.
 
-        What grew meanwhile was counted elsewhere. Until every collector has
-        reported, a value here may lack some of it, and is not believed. Old
-        marks go: growth since then is in the values taken from elsewhere,
-        and would be counted again.
+        Growth during the gap was counted by the other head. Until every
+        collector has reported, values of this head may lack some of it and
+        are not used. Old marks are dropped: growth since then is included in
+        the other head's values and would be counted twice.
         """
         before = self._reported_at
-        if before is None or now - before > self._fan_in.silence:
+        if before is None or now - before > self._fan_in.timeout:
             self._settled_at = float("inf")
             self._tally = tally.Tally()
             self._service.resume(before or 0.0, now)
         self._reported_at = now
 
-    def _note_settling(self, now: float) -> None:
-        """Start to settle when enough agents are heard.
+    def _start_settling(self, now: float) -> None:
+        """Start to settle when enough agents report.
 
-        After a restart a head may hear its own collector only, while the
-        others still take it for dead. Settled by that alone, it would be
-        believed with next to nothing counted.
+        After a restart a head may receive reports of its own collector only,
+        while the others still consider it failed. If these were sufficient,
+        its values would be used with almost nothing counted.
         """
-        is_heard = self._agents >= SETTLE_PART * self._expected_agents
-        if is_heard and self._settled_at == float("inf"):
-            self._settled_at = now + self._fan_in.silence
+        has_enough_reports = (
+            self._agents >= SETTLE_FRACTION * self._expected_agents
+        )
+        if has_enough_reports and self._settled_at == float("inf"):
+            self._settled_at = now + self._fan_in.timeout
 
-    def _note_source(self, report: reports.RelayReport, now: float) -> None:
+    def _record_collector(
+        self, report: reports.RelayReport, now: float
+    ) -> None:
         rows = len(report.reach_by_organisation)
         marks = sum(map(len, report.marks_by_organisation.values()))
         rows += math.ceil(marks / MARKS_PER_ROW)
         self._fan_in.note(report.incarnation, now, rows=rows)
-        source = self._source_by_incarnation.setdefault(
-            report.incarnation, _Source()
+        collector = self._collector_by_incarnation.setdefault(
+            report.incarnation, _CollectorState()
         )
-        # A late report must not bring back who waited a while ago.
-        if report.sequence > source.sequence:
-            source.sequence = report.sequence
-            source.agents = report.agents
-            source.reach_by_organisation = report.reach_by_organisation
+        # A late report must not replace the state of a newer one.
+        if report.sequence > collector.sequence:
+            collector.sequence = report.sequence
+            collector.agents = report.agents
+            collector.reach_by_organisation = report.reach_by_organisation
         self._fan_in.count(now)
-        self._source_by_incarnation = {
-            incarnation: source
-            for incarnation, source in self._source_by_incarnation.items()
-            if self._fan_in.is_heard(incarnation)
+        self._collector_by_incarnation = {
+            incarnation: collector
+            for incarnation, collector in self._collector_by_incarnation.items()
+            if self._fan_in.is_active(incarnation)
         }
         self._agents = 0
         self._reach = collections.Counter()
-        for source in self._source_by_incarnation.values():
-            self._agents += source.agents
-            self._reach.update(source.reach_by_organisation)
+        for collector in self._collector_by_incarnation.values():
+            self._agents += collector.agents
+            self._reach.update(collector.reach_by_organisation)
 
-    def _take_values(self, report: reports.RelayReport, now: float) -> set[str]:
-        """Take what the other head has said; return what was replaced.
+    def _adopt_values(
+        self, report: reports.RelayReport, now: float
+    ) -> set[str]:
+        """Adopt the other head's values; return the replaced organisations.
 
-        A head that has not settled replaces its count. One that has settled
-        keeps it, which misses nothing, and takes the other as lower bound.
+        A head that has not settled replaces its count. A settled one has a
+        complete count, keeps it, and uses the other value as a lower bound.
         """
         values = report.virtual_by_organisation
         if now < self._settled_at:
             return {
                 organisation
                 for organisation, virtual in values.items()
-                if self._service.go_on_from(organisation, virtual, now)
+                if self._service.adopt(organisation, virtual, now)
             }
         for organisation, virtual in values.items():
-            self._service.follow(organisation, virtual, now)
+            self._service.raise_floor(organisation, virtual, now)
         return set()
 
     def _merge_rows(
         self, report: reports.RelayReport, replaced: set[str], now: float
     ) -> None:
-        """Merge marks and add what they have grown by.
+        """Merge marks and add their growth.
 
-        While the head has not settled, growth that may be in a value taken
-        from the other head is noted and not added: at most a period's growth
-        is missed, and none is counted twice. A count too low is made good by
-        the other head's; one too high would spread to all.
+        While the head has not settled, growth that a value adopted from the
+        other head may include is recorded but not added: at most one period's
+        growth is missed, and none is counted twice. The other head's value
+        corrects a count that is too low, whereas one that is too high would
+        propagate to all heads.
         """
-        taken = report.virtual_by_organisation
+        adopted = report.virtual_by_organisation
         is_settled = now >= self._settled_at
         for organisation, marks in report.marks_by_organisation.items():
-            is_added = is_settled or organisation not in taken
+            is_added = is_settled or organisation not in adopted
             for row in marks:
                 key = tally.Key(report.incarnations[row.agent], organisation)
                 before = self._tally.get(key)
-                growth = self._tally.merge(*key, _read(row), now)
+                growth = self._tally.merge(*key, _to_mark(row), now)
                 is_counted = before is not None and organisation not in replaced
                 if is_added or is_counted:
                     self._service.grow(organisation, growth, now)
 
-    def _asked(self, report: reports.RelayReport) -> list[reports.HeadRow]:
-        asked = {*report.reach_by_organisation, *report.marks_by_organisation}
-        return [self._row(organisation) for organisation in sorted(asked)]
+    def _requested_rows(
+        self, report: reports.RelayReport
+    ) -> list[reports.HeadRow]:
+        requested = {
+            *report.reach_by_organisation,
+            *report.marks_by_organisation,
+        }
+        return [self._row(organisation) for organisation in sorted(requested)]
 
     def _row(self, organisation: str) -> reports.HeadRow:
         virtual = self._service.virtual(organisation)
@@ -244,10 +256,11 @@
         self._service.drop_older(now - RETAIN_SECONDS)
 
 
-def _read(row: reports.RelayMark) -> tally.Mark:
-    """Return a mark; one without ``included`` was seen here before.
+def _to_mark(row: reports.RelayMark) -> tally.Mark:
+    """Return the mark of a row.
 
-    If it was dropped meanwhile, it starts anew from what it says now.
+    A row without ``included`` is of a mark that this head has received
+    before. If that was dropped since, it restarts from its current count.
     """
     included = row.served if row.included is None else row.included
     return tally.Mark(served=row.served, included=included)
--- a/packages/daisypick_core/src/daisypick_core/fairness/head_view.py
+++ b/packages/daisypick_core/src/daisypick_core/fairness/head_view.py
@@ -1,4 +1,4 @@
-"""What a collector knows of a head.
+"""A collector's state of a head.
 
 Examples:
     >>> one, other = HeadView(), HeadView()
@@ -16,25 +16,25 @@
 
 
 class HeadView:
-    """What a head has acknowledged and said.
+    """The latest response of a head and the marks it has acknowledged.
 
     Attributes:
-        incarnation: Incarnation of the head, ``""`` before an answer.
-        settled_at: Since when its values can be relied on.
-        heard_at: When it answered last.
-        agents: Agents that report to it.
+        incarnation: Incarnation of the head, ``""`` before a response.
+        settled_at: Time since which its values are reliable.
+        received_at: Time of its latest response.
+        agents: Number of agents whose reports reach it.
         fleet_time: Mean virtual service of its organisations that wait.
-        active_share: Sum of the shares of these.
-        next_report_at: When it wants the next report.
-        sent_sequence: Sequence number of the report that is out.
-        sent: Marks of the report that is out.
-        acknowledged: Tokens of marks that it has counted.
+        active_share: Sum of the shares of these organisations.
+        next_report_at: Time at which the next report is due.
+        sent_sequence: Sequence number of the latest report sent.
+        sent: Served tokens by mark in the latest report sent.
+        acknowledged: Served tokens by mark that the head has counted.
     """
 
     def __init__(self) -> None:
         self.incarnation = ""
         self.settled_at = float("inf")
-        self.heard_at = float("-inf")
+        self.received_at = float("-inf")
         self.agents = 0
         self.fleet_time = 0.0
         self.active_share = 0.0
@@ -45,7 +45,7 @@
 
 
 def mean_time(views: Iterable[HeadView]) -> float | None:
-    """Return the mean of heads' times, weighted by share."""
+    """Return the mean of the heads' virtual times, weighted by share."""
     counting = [view for view in views if view.active_share > 0.0]
     share = sum(view.active_share for view in counting)
     if not share:
--- a/packages/daisypick_core/src/daisypick_core/fairness/order_policies.py
+++ b/packages/daisypick_core/src/daisypick_core/fairness/order_policies.py
@@ -1,14 +1,14 @@
-"""The registered ways to order organisations at a gate.
+"""The registered policies that order organisations at a gate.
 
-A policy maps what the gate knows of an organisation to a key; the lowest key
-is served next. Keys are compared only within one decision at one gate. A new
+A policy maps the gate's state of an organisation to a key; the lowest key is
+served next. Keys are compared only within one decision at one gate. A new
 policy is a new function under ``@register``.
 
-The *damped* key is the one in production. Ordering by the fleet's totals
-alone makes all ``N`` agents run after the same laggard until the next
-report, ``T`` seconds later; it overshoots by ``N`` agents' work, so the gap
-grows with ``T``. Each agent therefore corrects only its part, ``gain / N``
-of the lag, and is fair in its own service since the last report.
+Ordering by the fleet's totals alone makes all ``N`` agents serve the same
+lagging organisation until the next report, ``T`` seconds later. It overshoots
+by the work of ``N`` agents, so the gap grows with ``T``. With a *damped* key
+each agent therefore corrects only its part, ``gain / N`` of the lag, and is
+fair in its own service since the last report.
 
 Examples:
     >>> state = OrganisationState(
@@ -25,17 +25,17 @@
 
 
 class OrganisationState(typing.NamedTuple):
-    """What a policy sees of one organisation.
+    """State of one organisation as input of a policy.
 
     Attributes:
-        own_total: Virtual service at this gate in all, tokens per share.
+        own_total: Total virtual service at this gate, tokens per share.
         since_report: Virtual service at this gate that the fleet's virtual
-            service does not contain yet, tokens per share.
-        fleet_lag: Virtual service across the fleet less the fleet's virtual
+            service does not include yet, tokens per share.
+        fleet_lag: Virtual service across the fleet minus the fleet's virtual
             time; negative when the organisation is behind; 0 if unknown.
         agents: Agents of the service, at least 1.
         reach: Agents at which the organisation waits, at least 1.
-        gain: Part of the lag that all agents together correct a report.
+        gain: Fraction of the lag that all agents together correct per report.
     """
 
     own_total: float
@@ -63,23 +63,23 @@
 
 @register("own_service")
 def own_service_key(state: OrganisationState) -> float:
-    """Be fair at this gate alone."""
+    """Order by the service of this gate only."""
     return state.own_total
 
 
 @register("fleet_totals")
 def fleet_totals_key(state: OrganisationState) -> float:
-    """Follow the fleet's totals at once, undamped."""
+    """Order by the fleet's totals without damping."""
     return state.since_report + state.fleet_lag
 
 
 @register("damped")
 def damped_key(state: OrganisationState) -> float:
-    """Correct an equal part of the lag at each agent of the service."""
+    """Correct an equal fraction of the lag at each agent of the service."""
     return state.since_report + state.gain * state.fleet_lag / state.agents
 
 
 @register("damped_by_reach")
 def damped_by_reach_key(state: OrganisationState) -> float:
-    """Correct the lag at the agents that the organisation reaches."""
+    """Correct the lag only at the agents where the organisation waits."""
     return state.since_report + state.gain * state.fleet_lag / state.reach
--- a/packages/daisypick_core/src/daisypick_core/fairness/placement.py
+++ b/packages/daisypick_core/src/daisypick_core/fairness/placement.py
@@ -1,10 +1,11 @@
-"""Which agents collect, by rendezvous hash over those believed to be alive.
+"""Assigns the roles of collector and head by rendezvous hashing.
 
-Every agent computes the roles for itself from what it sees as live; nobody
-is appointed. Agents that see the same pick the same, and one that is gone
-moves only what it held. Where views differ, two agents do the work of one
-for a while: whoever receives a report handles it, and the marks in reports
-merge in any order, so a wrong view costs some fairness and no correctness.
+Every agent computes the assignment independently from its view of the live
+agents. Agents with equal views compute the same assignment, and the removal
+of an agent moves only its own roles. While views differ, two agents may
+perform one role: any agent that receives a report handles it, and the marks
+in reports merge in any order, so an outdated view costs some fairness but no
+correctness.
 
 Examples:
     >>> agents = ["10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"]
@@ -46,12 +47,12 @@
 
 
 def count_heads(agents: int) -> int:
-    """Return how many heads a service with so many agents has."""
+    """Return the number of heads of a service with a number of agents."""
     return max(1, math.ceil(agents / AGENTS_PER_HEAD))
 
 
 def count_collectors(agents: int) -> int:
-    """Return how many collectors a service has in a data centre."""
+    """Return the number of collectors of a service in a data centre."""
     return max(1, math.ceil(agents / AGENTS_PER_COLLECTOR))
 
 
--- a/packages/daisypick_core/src/daisypick_core/fairness/reports.py
+++ b/packages/daisypick_core/src/daisypick_core/fairness/reports.py
@@ -1,12 +1,12 @@
-"""What agents tell each other about service.
+"""Messages between agents about service.
 
-Two exchanges, each a request with its answer and batched: an agent with the
-collector of its data centre (``AgentReport``, ``AgentAnswer``), a collector
-with a head of the service (``RelayReport``, ``RelayAnswer``). Rows are JSON
-arrays. Every message names the incarnation that made it and a sequence
-number, so that a late one is told from a newer one.
+There are two batched exchanges of a request and its response: an agent with
+the collector of its data centre (``AgentReport``, ``AgentAnswer``), and a
+collector with a head of the service (``RelayReport``, ``RelayAnswer``). Rows
+are JSON arrays. Every report holds its sender's incarnation and a sequence
+number, so that a late one can be recognised.
 
-Tokens are counts of the engines; ``virtual`` is tokens per unit of share.
+Tokens are counted by the engines; ``virtual`` is in tokens per unit of share.
 """
 
 import typing
@@ -19,7 +19,7 @@
         organisation: Name of the organisation.
         served: Tokens served since the incarnation started.
         included: The part of them that a head has acknowledged.
-        is_waiting: Whether it has work waiting at the agent.
+        is_waiting: Whether it has attempts waiting at the agent.
     """
 
     organisation: str
@@ -32,8 +32,8 @@
     """From an agent to the collector of its data centre.
 
     Attributes:
-        incarnation: Random id of this start of the agent.
-        sequence: Rises with each report of the incarnation.
+        incarnation: Random id of the agent's incarnation.
+        sequence: Increases with each report of the incarnation.
         service: Name of the service that the agent's server serves.
         largest: Tokens of the largest request seen.
         rows: Organisations that wait, or whose service has grown.
@@ -52,8 +52,8 @@
     Attributes:
         organisation: Name of the organisation.
         virtual: Virtual service across the fleet.
-        included: The reporting agent's served tokens that it contains.
-        reach: Agents at which the organisation waits.
+        included: Served tokens of the reporting agent that it includes.
+        reach: Number of agents at which the organisation waits.
     """
 
     organisation: str
@@ -66,11 +66,11 @@
     """From the collector back to the agent.
 
     Attributes:
-        sequence: Sequence number of the report that is answered.
-        next_report_in: Seconds after which the next report is welcome.
-        agents: Agents of the service that report.
+        sequence: Sequence number of the report.
+        next_report_in: Seconds after which the next report is due.
+        agents: Number of agents of the service that report.
         fleet_time: The fleet's virtual time.
-        rows: Organisations of the report that a head knows.
+        rows: Organisations of the report that are known to a head.
     """
 
     sequence: int
@@ -81,13 +81,13 @@
 
 
 class RelayMark(typing.NamedTuple):
-    """A mark of an agent on its way to a head.
+    """A mark of an agent, relayed to a head.
 
     Attributes:
         agent: Index of the agent's incarnation in the report.
         served: Tokens served since the incarnation started.
         included: The part of them that the head in use has acknowledged;
-            ``None`` if this head has seen the mark before.
+            ``None`` if this head has acknowledged the mark before.
     """
 
     agent: int
@@ -100,18 +100,19 @@
 
     Attributes:
         incarnation: Incarnation of the collector.
-        sequence: Rises with each report of the incarnation.
+        sequence: Increases with each report of the incarnation.
         service: Name of the service.
-        head: Incarnation of the head that it is meant for, ``""`` at the
-            first contact. Another incarnation takes nothing in.
-        agents: Agents that report to the collector.
+        head: Incarnation of the intended head, ``""`` at the first contact.
+            Another incarnation discards the report.
+        agents: Number of agents that report to the collector.
         fleet_time: The fleet's virtual time, ``None`` if not known.
         largest: Tokens of the largest request seen.
-        incarnations: Agents that have served what follows.
-        marks_by_organisation: Marks that this head has not acknowledged.
-            Grouped so, a name is sent once and not once an agent.
-        reach_by_organisation: At how many of its agents each waits.
-        virtual_by_organisation: What the head in use last said, if that is
+        incarnations: Incarnations of the agents that the marks refer to.
+        marks_by_organisation: Marks that this head has not acknowledged,
+            grouped so that a name is sent once instead of once per agent.
+        reach_by_organisation: Number of the collector's agents at which each
+            organisation waits.
+        virtual_by_organisation: Latest value of the head in use, if that is
             the organisation's other head.
     """
 
@@ -129,7 +130,7 @@
 
 
 class HeadRow(typing.NamedTuple):
-    """An organisation's service across the fleet, as its head knows it."""
+    """An organisation's service across the fleet, as computed by its head."""
 
     organisation: str
     virtual: float
@@ -141,11 +142,11 @@
 
     Attributes:
         head: Incarnation of the head.
-        settled_for: Seconds for which its values could be relied on, 0 if
-            they cannot yet.
-        sequence: Sequence number of the report that is answered.
-        next_report_in: Seconds after which the next report is welcome.
-        agents: Agents of the service that report.
+        settled_for: Seconds for which its values have been reliable, 0 if
+            they are not yet.
+        sequence: Sequence number of the report.
+        next_report_in: Seconds after which the next report is due.
+        agents: Number of agents of the service that report.
         fleet_time: Mean virtual service of the head's organisations that
             wait, weighted by share.
         active_share: Sum of the shares of those organisations.
--- a/packages/daisypick_core/src/daisypick_core/fairness/service_account.py
+++ b/packages/daisypick_core/src/daisypick_core/fairness/service_account.py
@@ -1,10 +1,10 @@
 """Tokens charged to and served for one organisation at one gate.
 
-Two counts differ on purpose. *Charged* follows the expectation: a request is
-charged its estimate when it starts, more when its stream outgrows that, and
-the true cost at its end. *Served* only grows, by tokens that have surely been
-served, so that it can be reported and merged across the fleet. The
-difference is what runs now.
+There are two separate counts. *Charged* includes estimates: a request is
+charged its estimate when it starts, more when its stream exceeds that, and
+the actual cost at its end. *Served* only grows, by tokens that are known to
+have been served, so that it can be reported and merged across the fleet. The
+two differ only while attempts run.
 
 Examples:
     >>> account = ServiceAccount()
@@ -22,8 +22,8 @@
     """One running attempt.
 
     Attributes:
-        charged: Tokens charged for it until now.
-        served: Tokens served for it until now.
+        charged: Tokens charged for it so far.
+        served: Tokens served for it so far.
     """
 
     __slots__ = ("charged", "served")
@@ -38,14 +38,15 @@
 
     Attributes:
         charged: Tokens charged, estimates of running attempts included.
-        served: Tokens served; never falls.
+        served: Tokens served; never decreases.
         included: The part of ``served`` that the fleet's virtual service
-            contains, as the heads have acknowledged it.
-        fleet_lag: Virtual service across the fleet less the fleet's virtual
-            time, tokens per share; 0 before the first answer.
-        reach: Agents at which the organisation waits, 0 if not known.
+            includes, as acknowledged by the heads.
+        fleet_lag: Virtual service across the fleet minus the fleet's virtual
+            time, tokens per share; 0 before the first response.
+        reach: Number of agents at which the organisation waits, 0 if not
+            known.
         lift: Virtual service added on return from idle, tokens per share.
-        idle_since: When the last waiting attempt left, ``None`` while one
+        idle_since: Time since which no attempt waits, ``None`` while one
             waits.
     """
 
@@ -79,32 +80,33 @@
         return Run(estimate)
 
     def release(self, run: Run) -> None:
-        """Give back the charge of an attempt that never ran."""
+        """Refund the charge of an attempt that never ran."""
         self.charged -= run.charged
 
     def progress(self, run: Run, tokens: float) -> None:
-        """Note that ``tokens`` have been served for an attempt so far.
+        """Record that ``tokens`` have been served for an attempt so far.
 
-        A request may cost many times its estimate and stream for minutes.
-        Charged only at its end, its organisation would take slot after slot
-        meanwhile; so the charge follows as soon as the estimate is used up.
+        A request may cost many times its estimate and stream for minutes. If
+        it were charged only at its end, its organisation would obtain further
+        slots meanwhile. The charge therefore grows with the stream as soon as
+        the estimate is exceeded.
         """
-        self._serve(run, tokens)
+        self._add_served(run, tokens)
         excess = max(0.0, tokens - run.charged)
         run.charged += excess
         self.charged += excess
 
     def settle(self, run: Run, cost: float) -> None:
-        """Replace the charge of an attempt by its true cost.
+        """Replace the charge of an attempt by its actual cost.
 
-        A cost below what was streamed is not believed: ``served`` never
-        falls, and both counts must agree at the end.
+        A cost below the streamed tokens is ignored: ``served`` never
+        decreases, and both counts must agree at the end.
         """
         true_cost = max(cost, run.served)
-        self._serve(run, true_cost)
+        self._add_served(run, true_cost)
         self.charged += true_cost - run.charged
 
-    def _serve(self, run: Run, tokens: float) -> None:
+    def _add_served(self, run: Run, tokens: float) -> None:
         gain = max(0.0, tokens - run.served)
         run.served += gain
         self.served += gain
--- a/packages/daisypick_core/src/daisypick_core/fairness/share_order.py
+++ b/packages/daisypick_core/src/daisypick_core/fairness/share_order.py
@@ -1,17 +1,18 @@
-"""The order in which a gate gives free slots to organisations.
+"""The order in which a gate assigns free slots to organisations.
 
 Each organisation has a *virtual service*: tokens served divided by its share
 (start-time fair queueing; a virtual token counter). A free slot goes to the
-lowest key of the order policy, which combines the gate's own service with
-what the fleet's heads report (``order_policies``). Without reports the order
-is fair at this gate alone; that is also what is left in a partition.
-
-An organisation that comes back from idle starts at the lowest active
-counter, so that it neither gains credit nor starves anybody. *Idle* means
-longer than ``IDLE_SECONDS`` without a waiting attempt: queues at a gate are
-short, and a backlogged organisation's queue is often empty for the moment
-that its router needs to refill it. Lifting it then would take the credit
-that it has earned, most often from those with the largest shares.
+organisation with the lowest key of the order policy, which combines the
+gate's own service with the values reported by the fleet's heads
+(``order_policies``). Without reports, as in a network partition, the order is
+fair at this gate only.
+
+An organisation that returns from idle starts at the lowest counter of the
+active organisations, so that it neither gains credit nor starves others.
+*Idle* means longer than ``IDLE_SECONDS`` without a waiting attempt: queues at
+a gate are short, and the queue of a backlogged organisation is often empty
+until its router refills it. A lift at that moment would remove credit that it
+has earned, most often from organisations with the largest shares.
 
 Examples:
     >>> order = ShareOrder(share_by_organisation={"union": 1.0, "studio": 4.0})
@@ -40,13 +41,13 @@
 
 
 class FleetService(typing.NamedTuple):
-    """What the fleet's heads know of one organisation.
+    """Service of one organisation as reported by the fleet's heads.
 
     Attributes:
-        lag: Virtual service across the fleet less the fleet's virtual time,
+        lag: Virtual service across the fleet minus the fleet's virtual time,
             tokens per share; negative when it is behind.
-        included: This gate's served tokens that ``lag`` contains.
-        reach: Agents at which the organisation waits.
+        included: This gate's served tokens that ``lag`` includes.
+        reach: Number of agents at which the organisation waits.
     """
 
     lag: float
@@ -55,7 +56,7 @@
 
 
 class ShareOrder:
-    """Virtual service by organisation at one gate."""
+    """Orders organisations at one gate by their virtual service."""
 
     def __init__(
         self,
@@ -79,10 +80,11 @@
         self._largest_cost = 0.0
 
     def set_shares(self, share_by_organisation: Mapping[str, float]) -> None:
-        """Take the shares of a new configuration.
+        """Set the shares of a new configuration.
 
-        Accounts of organisations that are gone and have nothing running or
-        waiting are dropped, so that memory follows the configuration.
+        Accounts of organisations that were removed and have no running or
+        waiting attempts are dropped, so that memory stays bounded by the
+        configuration.
         """
         self._share_by_organisation = dict(share_by_organisation)
         for organisation in list(self._account_by_organisation):
@@ -96,7 +98,7 @@
                 del self._account_by_organisation[organisation]
 
     def arrive(self, organisation: str, now: float) -> None:
-        """Note that an organisation has work waiting here."""
+        """Record that an organisation has attempts waiting here."""
         self._now = max(self._now, now)
         is_new = organisation not in self._account_by_organisation
         account = self._account(organisation)
@@ -109,20 +111,20 @@
         self._active.add(organisation)
 
     def depart(self, organisation: str) -> None:
-        """Note that an organisation has no work waiting here."""
+        """Record that an organisation has no attempts waiting here."""
         self._active.discard(organisation)
         self._account(organisation).idle_since = self._now
 
     def charge(self, organisation: str, tokens: float) -> None:
-        """Charge tokens that no attempt stands for."""
+        """Charge tokens that do not belong to an attempt."""
         account = self._account(organisation)
         run = account.start(tokens)
         account.settle(run, tokens)
 
     def start(self, attempt: attempt_message.Attempt) -> None:
-        """Charge the expected cost of an attempt that takes a slot.
+        """Charge the estimated cost of an attempt that takes a slot.
 
-        The router's estimate is a hint; what it is worth is learned here.
+        The router's estimate is a hint that the estimator may correct.
         """
         account = self._account(attempt.organisation)
         expected = self._estimator.estimate(
@@ -131,19 +133,19 @@
         self._run_by_attempt[attempt.attempt_id] = account.start(expected)
 
     def release(self, attempt: attempt_message.Attempt) -> None:
-        """Give back the charge of an attempt that never ran."""
+        """Refund the charge of an attempt that never ran."""
         run = self._run_by_attempt.pop(attempt.attempt_id, None)
         if run is not None:
             self._account(attempt.organisation).release(run)
 
     def progress(self, attempt: attempt_message.Attempt, tokens: float) -> None:
-        """Note tokens served so far for an attempt that streams."""
+        """Record the tokens served so far for a streaming attempt."""
         run = self._run_by_attempt.get(attempt.attempt_id)
         if run is not None:
             self._account(attempt.organisation).progress(run, tokens)
 
     def settle(self, attempt: attempt_message.Attempt, cost: float) -> None:
-        """Replace the charge of an attempt that ended by its true cost."""
+        """Replace the charge of an attempt that ended by its actual cost."""
         run = self._run_by_attempt.pop(attempt.attempt_id, None)
         if run is not None:
             self._account(attempt.organisation).settle(run, cost)
@@ -161,14 +163,14 @@
         return min(organisations, key=lambda o: (self._key(o), o))
 
     def set_agents(self, agents: int) -> None:
-        """Take the number of agents of the service."""
+        """Set the number of agents of the service."""
         self._agents = max(1, agents)
 
     def hear(self, organisation: str, service: FleetService) -> None:
-        """Take what the fleet's heads know of an organisation.
+        """Set the service of an organisation reported by the fleet's heads.
 
-        ``included`` only grows, so an answer that was overtaken by a later
-        one is told by it and dropped.
+        ``included`` only grows, so a smaller value identifies a response that
+        arrives after a newer one and is dropped.
         """
         account = self._account_by_organisation.get(organisation)
         if account is None or service.included < account.included:
@@ -180,18 +182,18 @@
 
     @property
     def largest_cost(self) -> float:
-        """Tokens of the largest request that ended here."""
+        """Cost in tokens of the largest request that ended here."""
         return self._largest_cost
 
     @property
     def waiting_organisations(self) -> frozenset[str]:
-        """Organisations with work waiting here."""
+        """Organisations with attempts waiting here."""
         return frozenset(self._active)
 
     def accounts(
         self,
     ) -> Mapping[str, service_account.ServiceAccount]:
-        """Return the accounts by organisation, to be read only."""
+        """Return a read-only view of the accounts by organisation."""
         return self._account_by_organisation
 
     def _account(self, organisation: str) -> service_account.ServiceAccount:
@@ -204,14 +206,16 @@
     def _lift(
         self, organisation: str, account: service_account.ServiceAccount
     ) -> None:
-        floor = min((self._own(other) for other in self._active), default=0.0)
-        account.lift += max(0.0, floor - self._own(organisation))
+        floor = min(
+            (self._own_service(other) for other in self._active), default=0.0
+        )
+        account.lift += max(0.0, floor - self._own_service(organisation))
 
     def _share(self, organisation: str) -> float:
         return self._share_by_organisation.get(organisation, DEFAULT_SHARE)
 
-    def _own(self, organisation: str) -> float:
-        """Return the virtual service here since the last report."""
+    def _own_service(self, organisation: str) -> float:
+        """Return the virtual service here that the fleet's does not include."""
         account = self._account(organisation)
         return account.since_report / self._share(organisation) + account.lift
 
@@ -220,7 +224,7 @@
         share = self._share(organisation)
         state = order_policies.OrganisationState(
             own_total=account.charged / share + account.lift,
-            since_report=self._own(organisation),
+            since_report=self._own_service(organisation),
             fleet_lag=account.fleet_lag,
             agents=self._agents,
             reach=account.reach or self._agents,
--- a/packages/daisypick_core/src/daisypick_core/fairness/tally.py
+++ b/packages/daisypick_core/src/daisypick_core/fairness/tally.py
@@ -2,10 +2,10 @@
 
 Each agent counts, for its own incarnation, the tokens that it has served for
 each organisation; the count only grows (a G-counter). A *mark* is such a
-count together with the part of it that some head has acknowledged. Marks are
-joined by the larger of each, so joining is commutative, associative and
-idempotent: a report that is lost, doubled, late or crossed does no harm, as
-the next one contains it.
+count together with the part of it that some head has acknowledged. The join
+of two marks takes the larger of each value, so it is commutative, associative
+and idempotent: a report that is lost, duplicated, late or out of order is
+harmless, as the next one includes it.
 
 Examples:
     >>> join(Mark(served=5.0, included=2.0), Mark(served=4.0, included=3.0))
@@ -40,21 +40,21 @@
 
 
 class Key(typing.NamedTuple):
-    """Whose service a mark counts, and at which incarnation."""
+    """Incarnation and organisation whose service a mark counts."""
 
     incarnation: str
     organisation: str
 
 
 class _Entry(typing.NamedTuple):
-    """A mark and when it was last reported."""
+    """A mark and the time of its latest report."""
 
     mark: Mark
-    refreshed: float
+    refreshed_at: float
 
 
 def join(one: Mark, other: Mark) -> Mark:
-    """Return the least mark that contains both."""
+    """Return the least upper bound of two marks."""
     return Mark(
         served=max(one.served, other.served),
         included=max(one.included, other.included),
@@ -62,11 +62,11 @@
 
 
 class Tally:
-    """Marks of many incarnations; what is not refreshed is dropped.
+    """Marks of many incarnations; those not refreshed can be dropped.
 
-    A mark that was dropped is made anew by the next report of its agent, and
-    then counts from ``included``, so that dropping loses no service that a
-    head acknowledged and counts none twice.
+    The next report of its agent creates a dropped mark again, which then
+    counts from ``included``. Dropping therefore loses no acknowledged service
+    and counts none twice.
     """
 
     def __init__(self) -> None:
@@ -98,19 +98,18 @@
     ) -> float:
         """Join a mark and return the tokens that it adds.
 
-        A mark that is seen for the first time adds what no head has
-        acknowledged. Adding all of ``served`` instead would let an agent
-        whose mark was dropped count its whole past again, and its
-        organisations would be starved for it.
+        A new mark adds the tokens that no head has acknowledged. If it added
+        all of ``served``, an agent whose mark was dropped would count all its
+        past service again, and its organisations would be starved.
         """
         entries = self._entries_by_organisation.setdefault(organisation, {})
         before = entries.get(incarnation)
         if before is None:
-            entries[incarnation] = _Entry(mark=mark, refreshed=now)
+            entries[incarnation] = _Entry(mark=mark, refreshed_at=now)
             return max(0.0, mark.served - mark.included)
         after = join(before.mark, mark)
         entries[incarnation] = _Entry(
-            mark=after, refreshed=max(now, before.refreshed)
+            mark=after, refreshed_at=max(now, before.refreshed_at)
         )
         return after.served - before.mark.served
 
@@ -119,11 +118,11 @@
         for organisation, entries in other._entries_by_organisation.items():
             for incarnation, entry in entries.items():
                 self.merge(
-                    incarnation, organisation, entry.mark, entry.refreshed
+                    incarnation, organisation, entry.mark, entry.refreshed_at
                 )
 
     def acknowledge(self, key: Key, served: float) -> None:
-        """Note that a head has counted ``served`` tokens of a mark."""
+        """Record that a head has counted ``served`` tokens of a mark."""
         entries = self._entries_by_organisation.get(key.organisation, {})
         entry = entries.get(key.incarnation)
         if entry is not None:
@@ -131,12 +130,12 @@
             entries[key.incarnation] = entry._replace(mark=mark)
 
     def drop_older(self, moment: float) -> list[Key]:
-        """Drop marks that were not refreshed since ``moment``."""
+        """Drop marks not refreshed since ``moment`` and return their keys."""
         dropped = [
             Key(incarnation, organisation)
             for organisation, entries in self._entries_by_organisation.items()
             for incarnation, entry in entries.items()
-            if entry.refreshed < moment
+            if entry.refreshed_at < moment
         ]
         for key in dropped:
             entries = self._entries_by_organisation[key.organisation]
--- a/packages/daisypick_core/src/daisypick_core/fairness/tally_node.py
+++ b/packages/daisypick_core/src/daisypick_core/fairness/tally_node.py
@@ -1,15 +1,16 @@
-"""The exchange of service between agents, as one agent takes part in it.
+"""One agent's part in the exchange of service reports.
 
-Every agent reports its own service to the collector of its data centre. If
-it is picked as collector or head itself, it handles that as well; a role is
-not appointed, it is doing what is asked. The driver calls ``tick`` often,
-carries the reports that it returns to their addresses, and hands back the
-answer (``answered``) or that there is none (``failed``).
+Every agent reports its own service to the collector of its data centre. An
+agent performs the roles of collector and head whenever it receives reports
+for them; there is no explicit assignment. The driver calls ``tick``
+frequently, sends the returned reports to their addresses, and passes on each
+response (``answered``) or its absence (``failed``).
 
-Timeline of a change in service, with period ``T``: in the next report of the
-agent (up to ``T``), relayed by the collector (up to ``T``), in the answer to
-the agent's report after that (up to ``T``). When a collector or head dies,
-add the timeouts of two calls and one more period.
+A change in service propagates with period ``T`` as follows: it is in the next
+report of the agent (up to ``T``), is relayed by the collector (up to ``T``),
+and is in the response to the agent's subsequent report (up to ``T``). If a
+collector or head fails, the timeouts of two calls and one more period are
+added.
 
 Examples:
     >>> order = share_order.ShareOrder(share_by_organisation={})
@@ -35,28 +36,28 @@
 from daisypick_core.fairness import reports
 from daisypick_core.fairness import share_order
 
-# Long enough that a dead collector or head is not tried again in every
-# period, short enough that one which was only slow comes back.
+# Long enough that a failed collector or head is not retried in every period,
+# short enough that one which was only slow resumes its roles soon.
 SUSPECT_SECONDS = 10.0
 MAX_ROWS = 256
 
 
 class TallyAgent(typing.NamedTuple):
-    """An agent of the service that is believed to be alive."""
+    """An agent of the service that is considered alive."""
 
     address: str
     data_centre: str
 
 
 class Send(typing.NamedTuple):
-    """Carry a report to an address and hand back what is answered."""
+    """Send a report to an address and pass on the response."""
 
     address: str
     report: reports.Report
 
 
 class TallyNode:
-    """One agent's part in the exchange of service."""
+    """One agent's part in the exchange of service reports."""
 
     def __init__(
         self,
@@ -95,30 +96,30 @@
         self._heads_by_organisation: dict[str, Sequence[str]] = {}
         self._sequence = 0
         self._answered_sequence = 0
-        self._sent_in_by_organisation: dict[str, int] = {}
+        self._last_sequence_by_organisation: dict[str, int] = {}
         self._next_report_at: float | None = None
         self._first_report_in = first_report_in
         self.known_agents = 0
 
     @property
     def collector_address(self) -> str:
-        """Where this agent reports to."""
+        """Address of the collector that this agent reports to."""
         return self._collector_address
 
     @property
     def heads(self) -> tuple[str, ...]:
-        """Heads of the service as this agent sees them."""
+        """Heads of the service according to this agent's view."""
         return tuple(self._heads)
 
     def set_shares(self, share_by_organisation: Mapping[str, float]) -> None:
-        """Take the shares of a new configuration."""
+        """Set the shares of a new configuration."""
         self._head.set_shares(share_by_organisation)
 
     def set_agents(self, agents: Iterable[TallyAgent]) -> None:
-        """Take the agents of the service that are believed to be alive."""
+        """Set the agents of the service that are considered alive."""
         self._agents = tuple(agents)
-        self._head.expect(len(self._agents))
-        self._place()
+        self._head.set_expected_agents(len(self._agents))
+        self._assign_roles()
 
     def tick(self, now: float) -> list[Send]:
         """Return the reports that are due."""
@@ -137,7 +138,7 @@
         return sends
 
     def receive(self, report: reports.Report, now: float) -> reports.Answer:
-        """Handle a report of an agent or of a collector."""
+        """Handle a report of an agent or a collector."""
         if isinstance(report, reports.AgentReport):
             return self._collector.receive(report, now)
         return self._head.receive(report, now)
@@ -145,7 +146,7 @@
     def answered(
         self, address: str, answer: reports.Answer, now: float
     ) -> None:
-        """Take the answer to a report."""
+        """Handle the response to a report."""
         self._failed_once.discard(address)
         if isinstance(answer, reports.RelayAnswer):
             self._collector.answered(address, answer, now)
@@ -167,10 +168,11 @@
             self._order.hear(row.organisation, service)
 
     def failed(self, address: str, now: float) -> None:
-        """Note that an address did not answer.
+        """Handle an address that did not respond.
 
-        The first failure may be a lost message: the report is sent again at
-        once. After the second another agent takes the address's roles.
+        The first failure may be a lost message, so the report is resent
+        immediately. After the second, other agents take over the roles of the
+        address.
         """
         if address == self._address:
             return
@@ -182,12 +184,12 @@
             return
         self._failed_once.discard(address)
         self._suspect_until_by_address[address] = now + SUSPECT_SECONDS
-        self._place()
+        self._assign_roles()
 
     def _deliver(
         self, address: str, report: reports.Report, now: float
     ) -> list[Send]:
-        """Handle a report to this agent itself, or return it to be sent."""
+        """Handle a report to this agent itself, or return it for sending."""
         if address != self._address:
             return [Send(address=address, report=report)]
         self.answered(address, self.receive(report, now), now)
@@ -197,7 +199,9 @@
         self._sequence += 1
         rows = self._rows()
         for row in rows:
-            self._sent_in_by_organisation[row.organisation] = self._sequence
+            self._last_sequence_by_organisation[row.organisation] = (
+                self._sequence
+            )
         return reports.AgentReport(
             incarnation=self._incarnation,
             sequence=self._sequence,
@@ -207,7 +211,7 @@
         )
 
     def _rows(self) -> list[reports.AgentRow]:
-        """Return the rows to report; the longest unsent if too many."""
+        """Return the rows to report, the least recently sent if too many."""
         waiting = self._order.waiting_organisations
         rows = [
             reports.AgentRow(
@@ -220,13 +224,13 @@
             if organisation in waiting or account.served > account.included
         ]
         if len(rows) > MAX_ROWS:
-            sent_in = self._sent_in_by_organisation
-            rows.sort(key=lambda row: sent_in.get(row.organisation, 0))
+            last_sequence = self._last_sequence_by_organisation
+            rows.sort(key=lambda row: last_sequence.get(row.organisation, 0))
             del rows[MAX_ROWS:]
         return rows
 
     def _heads_of(self, organisation: str) -> Sequence[str]:
-        """Return the two heads of an organisation, the first one first."""
+        """Return the two heads of an organisation by descending rank."""
         heads = self._heads_by_organisation.get(organisation)
         if heads is None:
             heads = placement.ranked(organisation, self._heads)[:2]
@@ -242,10 +246,10 @@
         for address in restored:
             del self._suspect_until_by_address[address]
         if restored:
-            self._place()
+            self._assign_roles()
 
-    def _place(self) -> None:
-        """Pick collector and heads among the agents not under suspicion."""
+    def _assign_roles(self) -> None:
+        """Assign collector and heads among the agents not suspected."""
         usable = [
             agent
             for agent in self._agents
@@ -261,7 +265,7 @@
             : placement.count_heads(len(self._agents)) + 1
         ]
         self._heads_by_organisation = {}
-        # Two roles at one agent would cost it more than its budget.
+        # Two roles would exceed the budget of one agent.
         free = [address for address in near if address not in self._heads]
         collector_key = f"{self._service}/{self._data_centre}/collector"
         collectors = placement.ranked(
--- a/packages/daisypick_core/src/daisypick_core/fairness/virtual_service.py
+++ b/packages/daisypick_core/src/daisypick_core/fairness/virtual_service.py
@@ -2,16 +2,16 @@
 
 The virtual service of an organisation grows by tokens divided by its share.
 The virtual time is the mean over the organisations that wait, weighted by
-share. The difference of the two is an organisation's lag. Three rules keep
-the past from becoming a windfall or a punishment:
+share. The difference of the two is an organisation's lag. Three rules bound
+the effect of past service on the current order:
 
-* An organisation that comes back from idle is lifted to the virtual time: it
-  gains no credit, and the others are not starved for it.
+* An organisation that returns from idle is lifted to the virtual time: it
+  gains no credit, and others are not starved.
 * The lag of a waiting organisation is clamped on both sides. One that was
-  throttled where it waits (few agents, few slots) must not take the fleet
-  for hours when it is let loose; one that used capacity which nobody else
-  could reach must not starve for it.
-* Only growth is ever added; forgetting a dead incarnation changes nothing.
+  limited where it waits (few agents, few slots) must not dominate the fleet
+  for hours once the limit is gone; one that used capacity which no other
+  organisation could reach must not be starved afterwards.
+* Only growth is added; removing the marks of a dead incarnation has no effect.
 
 Examples:
     >>> service = VirtualService(share_by_organisation={"studio": 2.0})
@@ -28,7 +28,7 @@
 from collections.abc import Mapping
 import math
 
-DEFAULT_QUIET_SECONDS = 5.0
+DEFAULT_IDLE_SECONDS = 5.0
 CLAMP_SECONDS = 60.0
 CLAMP_REQUESTS = 64.0
 DEFAULT_SHARE = 1.0
@@ -40,10 +40,10 @@
     """Virtual service of one organisation.
 
     Attributes:
-        counted: What was counted here, with lifts and clamps.
-        floor: What another head has counted, as last told.
-        touched_at: When it last grew or waited.
-        waited_at: When it last waited.
+        counted: Virtual service counted here, with lifts and clamps.
+        floor: Lower bound from the value of another head.
+        touched_at: Time at which it last grew or waited.
+        waited_at: Time at which it last waited.
     """
 
     __slots__ = ("counted", "floor", "touched_at", "waited_at")
@@ -69,11 +69,11 @@
     def __init__(self, *, share_by_organisation: Mapping[str, float]) -> None:
         self._share_by_organisation = share_by_organisation
         self._state_by_organisation: dict[str, _State] = {}
-        self._quiet_seconds = DEFAULT_QUIET_SECONDS
+        self._idle_seconds = DEFAULT_IDLE_SECONDS
         self._mean: float | None = None
         self._reference: float | None = None
         self.active_share = 0.0
-        self._least_share = 0.0
+        self._min_share = 0.0
         self._largest = 0.0
         self._rate = 0.0
         self._growth = 0.0
@@ -84,56 +84,57 @@
 
     @property
     def mean(self) -> float:
-        """Mean virtual service of those that wait here, 0 before any did."""
+        """Mean virtual service of waiting organisations, initially 0."""
         return self._mean or 0.0
 
     @property
     def time(self) -> float:
-        """The fleet's virtual time as far as it is known here."""
+        """The fleet's virtual time, the local mean if it is not known."""
         if self._reference is not None:
             return self._reference
         return self.mean
 
     @property
-    def largest_lag(self) -> float:
-        """Bound to which lags are clamped, tokens per share."""
-        if not (self._least_share and self._rate and self._largest):
+    def max_lag(self) -> float:
+        """Bound on the absolute value of lags, tokens per share."""
+        if not (self._min_share and self._rate and self._largest):
             return float("inf")
-        by_requests = CLAMP_REQUESTS * self._largest / self._least_share
+        by_requests = CLAMP_REQUESTS * self._largest / self._min_share
         return max(by_requests, CLAMP_SECONDS * self._rate)
 
     def set_shares(self, share_by_organisation: Mapping[str, float]) -> None:
-        """Take the shares of a new configuration."""
+        """Set the shares of a new configuration."""
         self._share_by_organisation = share_by_organisation
 
-    def set_quiet(self, seconds: float) -> None:
-        """Set how long an organisation may be unheard of without being idle.
+    def set_idle_seconds(self, seconds: float) -> None:
+        """Set the time without a report after which an organisation is idle.
 
-        It must span several reports. Were it shorter than one period, each
-        report would find every organisation back from idle and forgive all
-        lags, so that the gap would grow with the length of the run.
+        It must span several reports. If it were shorter than one period, each
+        report would lift every organisation as returning from idle and reset
+        all lags, so that the gap between organisations would keep growing.
         """
-        self._quiet_seconds = max(DEFAULT_QUIET_SECONDS, seconds)
+        self._idle_seconds = max(DEFAULT_IDLE_SECONDS, seconds)
 
     def set_reference(self, time: float | None) -> None:
-        """Take the virtual time over all heads, if it is known."""
+        """Set the virtual time over all heads, if it is known."""
         if time is not None:
             self._reference = time
 
     def resume(self, before: float, now: float) -> None:
-        """Go on after a time without reports, from ``before`` to ``now``.
+        """Resume after a gap without reports from ``before`` to ``now``.
 
-        The fleet's time may have moved on and is dropped. Organisations that
-        waited before are taken to have waited all along: lifted as idle ones,
-        they would lose their lag, and others theirs by comparison.
+        The fleet's virtual time may be outdated and is dropped. Organisations
+        that waited before the gap are treated as having waited throughout: if
+        they were lifted as idle, they would lose their lag, which would also
+        change the lags of the others.
         """
         self._reference = None
         for state in self._state_by_organisation.values():
-            if before - state.waited_at <= self._quiet_seconds:
+            if before - state.waited_at <= self._idle_seconds:
                 state.waited_at = now
 
     def note_largest(self, tokens: float) -> None:
-        """Note the size of a large request."""
+        """Record the size of a request for the bound on lags."""
         self._largest = max(self._largest, tokens)
 
     def virtual(self, organisation: str) -> float | None:
@@ -141,21 +142,23 @@
         state = self._state_by_organisation.get(organisation)
         return None if state is None else state.virtual
 
-    def follow(self, organisation: str, virtual: float, now: float) -> None:
-        """Take what another head has counted as a lower bound.
+    def raise_floor(
+        self, organisation: str, virtual: float, now: float
+    ) -> None:
+        """Use the value of another head as a lower bound.
 
-        No sum of two counts is ever formed, since both contain the same
-        service. Each may lack some, so the higher one is closer.
+        Two counts are never added, since both include the same service. Each
+        may lack some of it, so the higher one is more accurate.
         """
         state = self._state(organisation, now)
         state.floor = max(state.floor, virtual)
         state.waited_at = now
 
-    def go_on_from(self, organisation: str, virtual: float, now: float) -> bool:
-        """Replace what was counted here if another head has counted more.
+    def adopt(self, organisation: str, virtual: float, now: float) -> bool:
+        """Replace the local count if another head has counted more.
 
-        Either way the organisation is not back from idle: the other head has
-        seen it wait while this one was away.
+        In either case the organisation does not return from idle: the other
+        head has seen it wait while this one received no reports.
         """
         state = self._state_by_organisation.get(organisation)
         if state is not None and state.counted >= virtual:
@@ -167,9 +170,9 @@
         return True
 
     def activate(self, organisation: str, now: float) -> None:
-        """Note that an organisation waits; lift it if it was idle."""
+        """Record that an organisation waits; lift it if it was idle."""
         state = self._state(organisation, now)
-        if now - state.waited_at > self._quiet_seconds:
+        if now - state.waited_at > self._idle_seconds:
             state.move_to(max(self.time, state.virtual))
         state.waited_at = now
 
@@ -180,14 +183,14 @@
         self._growth += tokens
 
     def refresh(self, waiting: Iterable[str], now: float) -> None:
-        """Compute the virtual time from those that wait, clamp their lags."""
+        """Compute the virtual time from waiting organisations, clamp lags."""
         shares = {
             organisation: self.share(organisation)
             for organisation in waiting
             if organisation in self._state_by_organisation
         }
         self.active_share = sum(shares.values())
-        self._least_share = min(shares.values(), default=0.0)
+        self._min_share = min(shares.values(), default=0.0)
         if shares:
             weighted = sum(
                 share * self._state_by_organisation[organisation].virtual
@@ -198,7 +201,7 @@
         self._clamp(shares)
 
     def drop_older(self, moment: float) -> None:
-        """Forget organisations that neither grew nor waited since."""
+        """Drop organisations that neither grew nor waited since ``moment``."""
         for organisation in list(self._state_by_organisation):
             if self._state_by_organisation[organisation].touched_at < moment:
                 del self._state_by_organisation[organisation]
@@ -228,7 +231,7 @@
         self._rate_at = now
 
     def _clamp(self, organisations: Iterable[str]) -> None:
-        bound = self.largest_lag
+        bound = self.max_lag
         time = self.time
         for organisation in organisations:
             state = self._state_by_organisation[organisation]
--- a/packages/daisypick_core/tests/fairness/test_collector.py
+++ b/packages/daisypick_core/tests/fairness/test_collector.py
@@ -38,16 +38,16 @@
     return dict(subject.make_relays(HEADS, now))
 
 
-def ask(subject, sequence, now, served=10.0):
+def send_report(subject, sequence, now, served=10.0):
     row = ("union", served, 0.0, True)
     return subject.receive(make_report(sequence, row), now)
 
 
-def test_marks_are_sent_until_each_head_has_them():
-    # An answer is lost: what it acknowledged is sent again to that head, and
-    # to that head only.
+def test_marks_are_sent_until_each_head_has_acknowledged_them():
+    # A response is lost. The marks that it acknowledged must be sent again to
+    # that head, and only to that head.
     subject = make_collector()
-    ask(subject, 1, 0.0)
+    send_report(subject, 1, 0.0)
     first = relay(subject, 0.0)
     assert set(first) == set(HEADS)
     subject.answered("h1:80", make_answer(first["h1:80"], 10.0), 0.0)
@@ -59,22 +59,22 @@
     }
     subject.answered("h2:80", make_answer(first["h2:80"], 99.0), 1.0)
     assert relay(subject, 2.0)["h2:80"].marks_by_organisation
-    assert ask(subject, 2, 2.0).rows == [
+    assert send_report(subject, 2, 2.0).rows == [
         reports.FleetRow("union", 10.0, 10.0, 3)
     ]
 
 
 def test_head_that_has_counted_longer_is_in_use():
-    # The first head restarts and lacks some growth. Its values may not
-    # replace those of the second, which has counted all along.
+    # The first head restarts and lacks some growth. Its values must not
+    # replace those of the second, which has been counting without a gap.
     subject = make_collector()
-    ask(subject, 1, 0.0)
+    send_report(subject, 1, 0.0)
     sent = relay(subject, 0.0)
     first = make_answer(sent["h1:80"], 4.0, settled_for=5.0)
     subject.answered("h1:80", first, 0.0)
     second = make_answer(sent["h2:80"], 10.0, head="h2", settled_for=500.0)
     subject.answered("h2:80", second, 0.0)
-    assert ask(subject, 2, 0.5).rows[0].virtual == 10.0
+    assert send_report(subject, 2, 0.5).rows[0].virtual == 10.0
     sent = relay(subject, 1.0)
     assert sent["h1:80"].virtual_by_organisation == {"union": 10.0}
     assert sent["h2:80"].virtual_by_organisation == {}
@@ -82,7 +82,7 @@
 
 def test_restarted_head_is_sent_everything():
     subject = make_collector()
-    ask(subject, 1, 0.0)
+    send_report(subject, 1, 0.0)
     sent = relay(subject, 0.0)
     subject.answered("h1:80", make_answer(sent["h1:80"], 10.0), 0.0)
     sent = relay(subject, 1.0)["h1:80"]
@@ -94,29 +94,29 @@
     assert again.virtual_by_organisation == {"union": 10.0}
 
 
-def test_late_report_does_not_bring_back_who_waited():
+def test_late_report_does_not_restore_waiting_organisations():
     subject = make_collector()
-    ask(subject, 1, 0.0)
+    send_report(subject, 1, 0.0)
     subject.receive(make_report(3), 0.0)
-    ask(subject, 2, 0.0, served=30.0)
+    send_report(subject, 2, 0.0, served=30.0)
     sent = relay(subject, 0.0)["h1:80"]
     assert sent.reach_by_organisation == {}
     assert sent.marks_by_organisation["union"][0].served == 30.0
 
 
-def test_old_values_are_not_told():
-    # No head has answered for a while. A value from then, set against a
-    # virtual time of now, would look like a huge lag.
+def test_outdated_values_are_not_returned():
+    # No head has responded for a while. An old value compared with the
+    # current virtual time would look like a huge lag.
     subject = make_collector()
-    ask(subject, 1, 0.0)
+    send_report(subject, 1, 0.0)
     sent = relay(subject, 0.0)
     subject.answered("h1:80", make_answer(sent["h1:80"], 10.0), 0.0)
-    assert ask(subject, 2, 1.0).rows
-    answer = ask(subject, 3, 30.0)
+    assert send_report(subject, 2, 1.0).rows
+    answer = send_report(subject, 3, 30.0)
     assert (answer.rows, answer.agents) == ([], 0)
 
 
-def test_receiver_sets_the_pace():
+def test_receiver_sets_the_report_interval():
     subject = make_collector()
     for number in range(60):
         report = make_report(1, incarnation=f"a{number}")
--- a/packages/daisypick_core/tests/fairness/test_head.py
+++ b/packages/daisypick_core/tests/fairness/test_head.py
@@ -40,9 +40,9 @@
     return now
 
 
-def test_doubled_late_and_crossed_reports_add_up_once():
-    # The same marks arrive twice, then older ones after newer ones. Counted
-    # again, their organisation would seem ahead and starve.
+def test_duplicate_late_and_reordered_reports_are_counted_once():
+    # The same marks arrive twice, then older ones after newer ones. If they
+    # were counted again, their organisation would seem ahead and be starved.
     subject = make_head()
     first = make_report(1, {("a1", "union"): (10, 0)})
     second = make_report(2, {("a1", "union"): (30, 0)})
@@ -57,8 +57,8 @@
     assert answer.rows == [reports.HeadRow("studio", 2.0, 2)]
 
 
-def test_two_collectors_of_one_agent_add_up_once():
-    # Two agents both collect, and the same marks arrive by both.
+def test_marks_from_two_collectors_are_counted_once():
+    # Two agents both act as collector and relay the same marks.
     subject = make_head()
     marks = {("a1", "union"): (10, 0), ("a2", "union"): (5, 0)}
     subject.receive(make_report(1, marks), 0.0)
@@ -66,9 +66,9 @@
     assert subject.virtual("union") == 15.0
 
 
-def test_dead_incarnation_leaves_no_jump():
-    # An agent dies with a large total and is forgotten; its successor counts
-    # from 0. Neither may move the virtual service that is known.
+def test_dead_incarnation_does_not_change_virtual_service():
+    # An agent with a large total dies and its marks are dropped; its next
+    # incarnation counts from 0. Neither may change the virtual service.
     subject = make_head()
     now = settle(subject)
     subject.receive(make_report(50, {("a1", "union"): (90, 0)}), now)
@@ -80,9 +80,9 @@
     assert len(subject) == 1
 
 
-def test_report_for_the_predecessor_is_not_taken_in():
-    # The head restarts at its address. A report that lacks the values to go
-    # on from would make every lag forgotten.
+def test_report_for_a_previous_incarnation_is_discarded():
+    # The head restarts at its address. A report without the values to resume
+    # from would make it lose every lag.
     subject = make_head("h2")
     report = make_report(5, {("a1", "union"): (90, 80)}, head="h1")
     answer = subject.receive(report, 0.0)
@@ -90,10 +90,11 @@
     assert subject.virtual("union") is None
 
 
-def test_new_head_goes_on_from_what_was_heard_and_counts_nothing_twice():
-    # The first head dies. Its collectors heard different values; some growth
-    # was acknowledged to one of them only. The new head must not exceed the
-    # true value (140 + 20), and may lack no more than a report's growth.
+def test_new_head_resumes_from_reported_values_and_counts_nothing_twice():
+    # The first head dies. Its collectors received different values, and some
+    # growth was acknowledged to only one of them. The new head must not
+    # exceed the true value (140 + 20) and may lack at most the growth of one
+    # report.
     subject = make_head("h2")
     values = {"union": 100.0, "studio": 10.0}
     report = make_report(
@@ -121,9 +122,10 @@
     assert (subject.virtual("union"), answer.settled_for) == (160.0, 0.0)
 
 
-def test_head_that_was_cut_off_settles_anew():
-    # Collectors used the other head for a minute. What grew meanwhile is in
-    # its value; counted by the old marks as well, it would count twice.
+def test_head_settles_again_after_a_partition():
+    # Collectors used the other head for a minute, whose value includes the
+    # growth since. If it were also derived from the old marks, it would be
+    # counted twice.
     subject = make_head()
     now = settle(subject)
     subject.receive(make_report(50, {("a1", "union"): (10, 0)}), now)
@@ -141,13 +143,13 @@
 
 
 def test_settled_head_keeps_its_own_count():
-    # While collectors differ, the other head lacks what this one has counted
-    # and may know what this one has not heard yet.
+    # While collectors use different heads, the other head lacks some growth
+    # counted here and may include some that has not been reported here yet.
     subject = make_head()
     now = settle(subject)
     subject.receive(make_report(50, {("a1", "union"): (100, 0)}), now)
-    told = make_report(51, virtual_by_organisation={"union": 120.0})
-    subject.receive(told, now)
+    value = make_report(51, virtual_by_organisation={"union": 120.0})
+    subject.receive(value, now)
     assert subject.virtual("union") == 120.0
     subject.receive(make_report(52, {("a1", "union"): (130, 0)}), now)
     assert subject.virtual("union") == 130.0
--- a/packages/daisypick_core/tests/fairness/test_share_order.py
+++ b/packages/daisypick_core/tests/fairness/test_share_order.py
@@ -30,24 +30,24 @@
 
 
 def test_stream_beyond_its_estimate_is_charged_while_it_runs():
-    # A request that was hinted at 10 tokens streams 500. Were it charged at
-    # its end only, its organisation would get the next slots as well.
+    # A request with an estimate of 10 tokens streams 500. If it were charged
+    # only at its end, its organisation would get the next slots as well.
     order = make_order()
     for name in ("farm", "union"):
         order.arrive(name, 0.0)
-    long_one = make_attempt("x", "farm")
-    order.start(long_one)
+    long_stream = make_attempt("x", "farm")
+    order.start(long_stream)
     order.start(make_attempt("y", "union", estimate=50.0))
     assert order.pick(["farm", "union"], 1.0) == "farm"
-    order.progress(long_one, 9)
+    order.progress(long_stream, 9)
     assert order.pick(["farm", "union"], 1.0) == "farm"
-    order.progress(long_one, 500)
+    order.progress(long_stream, 500)
     assert order.pick(["farm", "union"], 1.0) == "union"
-    order.settle(long_one, 510.0)
+    order.settle(long_stream, 510.0)
     account = order.accounts()["farm"]
     assert (account.charged, account.served) == (510.0, 510.0)
-    order.progress(long_one, 900)
-    order.settle(long_one, 900.0)
+    order.progress(long_stream, 900)
+    order.settle(long_stream, 900.0)
     assert account.served == 510.0
 
 
@@ -61,7 +61,7 @@
     assert (account.charged, account.served) == (0.0, 0.0)
 
 
-def test_hint_is_corrected_by_what_was_learned():
+def test_hint_is_corrected_by_learned_costs():
     order = make_order()
     first = make_attempt("x", "farm")
     order.start(first)
@@ -73,8 +73,8 @@
 
 
 def test_return_from_idle_brings_no_credit():
-    # "union" is away while "farm" is served 1000 tokens. With its old counter
-    # it would take every slot until it had caught up, and starve "farm".
+    # "union" is idle while "farm" is served 1000 tokens. With its old counter
+    # it would take every slot until it caught up, and "farm" would starve.
     order = make_order()
     for name in ("farm", "union"):
         order.arrive(name, 0.0)
@@ -86,9 +86,9 @@
     assert order.pick(["farm", "union"], 20.0) == "farm"
 
 
-def test_momentary_emptiness_takes_no_credit():
-    # A backlogged organisation's queue at a gate is empty until its router
-    # refills it. Lifted then, it would lose what it has earned.
+def test_briefly_empty_queue_keeps_its_credit():
+    # The queue of a backlogged organisation at a gate is empty until its
+    # router refills it. A lift at that moment would remove earned credit.
     order = make_order()
     for name in ("farm", "union"):
         order.arrive(name, 0.0)
@@ -100,7 +100,7 @@
     assert order.pick(["farm", "union"], 1.1) == "union"
 
 
-def test_fleet_lag_orders_and_late_answers_are_dropped():
+def test_fleet_lag_sets_the_order_and_late_responses_are_dropped():
     order = make_order("damped_by_reach")
     for name in ("farm", "union"):
         order.arrive(name, 0.0)
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("count", [22_000])
-def test_memory_follows_the_configuration(count):
+def test_accounts_of_removed_organisations_are_dropped(count):
     shares = {f"o{n}": 1.0 for n in range(count)}
     order = make_order(**shares)
     for name in shares:
--- a/packages/daisypick_core/tests/fairness/test_tally.py
+++ b/packages/daisypick_core/tests/fairness/test_tally.py
@@ -50,9 +50,9 @@
 @hypothesis.given(
     st.lists(st.integers(1, 50), min_size=1, max_size=6), st.randoms()
 )
-def test_growth_adds_up_once(steps, rng):
-    # Reports arrive doubled, crossed, and some not at all; only the last one
-    # surely arrives. What is added must be the total, whatever the order.
+def test_growth_is_counted_once(steps, rng):
+    # Reports arrive duplicated, out of order or not at all; only the last one
+    # is certain to arrive. The sum must equal the total in any order.
     totals = [float(sum(steps[: n + 1])) for n in range(len(steps))]
     reports = [total for total in totals * 2 if rng.random() < 0.7]
     rng.shuffle(reports)
@@ -65,8 +65,8 @@
 
 
 def test_dropped_mark_counts_from_what_was_included():
-    # An agent is silent for so long that its mark is dropped, and returns
-    # with a long past. Counting the past again would starve its organisation.
+    # An agent sends no reports for so long that its mark is dropped, and then
+    # resumes. Counting its past service again would starve its organisation.
     subject = tally.Tally()
     key = tally.Key("a1", "union")
     subject.merge("a1", "union", tally.Mark(100.0, 0.0), 0.0)
--- a/packages/daisypick_core/tests/fairness/test_tally_node.py
+++ b/packages/daisypick_core/tests/fairness/test_tally_node.py
@@ -27,7 +27,7 @@
 
 
 def exchange(nodes, start, end, dead=()):
-    """Let the nodes exchange; reports to dead ones get no answer."""
+    """Exchange reports between the nodes; dead ones do not respond."""
     for step in range(round(start * 4), round(end * 4)):
         now = step / 4
         for address, (node, _) in nodes.items():
@@ -49,7 +49,7 @@
     }
 
 
-def test_all_agents_learn_the_same_lag():
+def test_all_agents_receive_the_same_lag():
     nodes = make_nodes()
     for _, order in nodes.values():
         order.charge("union", 10.0)
@@ -63,16 +63,16 @@
     )
 
 
-def test_collector_and_heads_die():
-    # A collector and every head die at once. Each agent is told of no answer
-    # twice, then others hold the roles. The lag from before must be kept, and
-    # service that comes 4 s later must show at all agents within 12 s.
+def test_lags_are_kept_when_collector_and_heads_die():
+    # A collector and every head die at once. After two failed calls each
+    # agent assigns the roles to others. Earlier lags must be kept, and service
+    # added 4 s later must be visible at all agents within 12 s.
     nodes = make_nodes()
     for _, order in nodes.values():
         order.charge("union", 10.0)
     exchange(nodes, 0.0, 12.0)
-    some = next(iter(nodes.values()))[0]
-    dead = {some.collector_address, *some.heads}
+    observer = next(iter(nodes.values()))[0]
+    dead = {observer.collector_address, *observer.heads}
     alive = next(one for one in nodes if one not in dead)
     exchange(nodes, 12.0, 16.0, dead=dead)
     assert lags(nodes, "union", dead) == {60.0}
@@ -83,7 +83,7 @@
     assert lags(nodes, "union") == {110.0}
 
 
-def test_one_lost_call_moves_no_role():
+def test_one_failed_call_does_not_move_a_role():
     nodes = make_nodes()
     node = next(iter(nodes.values()))[0]
     role = next(one for one in node.heads if one != "10.0.0.0:80")
@@ -96,9 +96,9 @@
     assert node.heads == heads
 
 
-def test_rows_of_a_report_are_bounded_and_take_turns():
-    # 22,000 organisations grow at one agent. Each report is bounded, and
-    # those left out come first in the next.
+def test_rows_of_a_report_are_bounded_and_rotate():
+    # The service of 22,000 organisations grows at one agent. Each report is
+    # bounded, and the rows omitted must come first in the next one.
     order = share_order.ShareOrder(share_by_organisation={})
     node = tally_node.TallyNode(
         address="10.0.0.1:80",
