--- a/packages/daisypick_core/src/daisypick_core/claims/batcher.py
+++ b/packages/daisypick_core/src/daisypick_core/claims/batcher.py
@@ -33,9 +33,9 @@
 from daisypick_core.results import failure as failure_value
 
 # Maximum claims per write, which keeps the object small.
-BATCH_CLAIMS = 512
+MAX_BATCH_CLAIMS = 512
 # Maximum spans read concurrently by a batcher that takes over a shard.
-READS_AT_ONCE = 16
+MAX_CONCURRENT_READS = 16
 
 _RETRIED_CODES = frozenset(
     {
@@ -69,7 +69,7 @@
     idle: float = 2 * shard_view.REMEMBER_SECONDS
 
 
-class _Waiting(typing.NamedTuple):
+class _WaitingClaim(typing.NamedTuple):
     """A claim whose outcome is pending."""
 
     claim: outcomes.Claim
@@ -81,7 +81,7 @@
 
     def __init__(self, *, number: int, now: float) -> None:
         self.view = shard_view.ShardView(number=number, now=now)
-        self.waiting_by_ticket: dict[int, _Waiting] = {}
+        self.waiting_by_ticket: dict[int, _WaitingClaim] = {}
         self.call_by_id: dict[int, actions.StoreCall] = {}
         self.decision: shard_view.Decision | None = None
         self.not_before = now
@@ -143,7 +143,7 @@
             self._work_by_shard[number] = work
         work.used_at = now
         expires_at = now + self._limits.patience
-        waiting = _Waiting(claim=claim, expires_at=expires_at)
+        waiting = _WaitingClaim(claim=claim, expires_at=expires_at)
         work.waiting_by_ticket[ticket] = waiting
         self._waiting_count += 1
         return self._advance(work, now)
@@ -195,7 +195,7 @@
         if missing:
             names = [
                 shard_value.span_name(view.number, span)
-                for span in missing[:READS_AT_ONCE]
+                for span in missing[:MAX_CONCURRENT_READS]
             ]
             return [self._begin(work, actions.Read(name=n)) for n in names]
         if self._must_seal(view):
@@ -229,7 +229,9 @@
         self, work: _ShardWork, now: float
     ) -> list[actions.BatcherAction]:
         """Settle claims already decided, write those that are granted."""
-        waiting = itertools.islice(work.waiting_by_ticket.items(), BATCH_CLAIMS)
+        waiting = itertools.islice(
+            work.waiting_by_ticket.items(), MAX_BATCH_CLAIMS
+        )
         batch = {ticket: entry.claim for ticket, entry in waiting}
         decision = work.view.decide(batch, now)
         due: list[actions.BatcherAction] = []
@@ -320,8 +322,9 @@
             # Another batcher wrote this span, or the response to this
             # batcher's own write was lost: continue with the stored span.
             return [self._begin(work, actions.Read(name=call.name))]
-        # A concurrent batcher, or an own write whose response was lost, has
-        # changed the head. A missing span was deleted under a newer head.
+        # A concurrent batcher has changed the head, or a write of this one
+        # whose response was lost. A missing span was deleted under a newer
+        # head.
         view.is_fresh = False
         delay = self._limits.retry_delay * self._rng.uniform(0.5, 1.5)
         if failure.code == codes.PLATFORM_BUDGET_SPENT:
--- a/packages/daisypick_core/src/daisypick_core/fairness/order_policies.py
+++ b/packages/daisypick_core/src/daisypick_core/fairness/order_policies.py
@@ -8,7 +8,7 @@
 lagging organisation until the next report, ``T`` seconds later. It overshoots
 by the work of ``N`` agents, so the gap grows with ``T``. With a *damped* key
 each agent therefore corrects only its part, ``gain / N`` of the lag, and is
-fair in its own service since the last report.
+fair in its own service since the last report. Production uses a damped key.
 
 Examples:
     >>> state = OrganisationState(
--- a/packages/daisypick_core/src/daisypick_core/fairness/share_order.py
+++ b/packages/daisypick_core/src/daisypick_core/fairness/share_order.py
@@ -166,7 +166,9 @@
         """Set the number of agents of the service."""
         self._agents = max(1, agents)
 
-    def hear(self, organisation: str, service: FleetService) -> None:
+    def set_fleet_service(
+        self, organisation: str, service: FleetService
+    ) -> None:
         """Set the service of an organisation reported by the fleet's heads.
 
         ``included`` only grows, so a smaller value identifies a response that
--- a/packages/daisypick_core/src/daisypick_core/fairness/tally_node.py
+++ b/packages/daisypick_core/src/daisypick_core/fairness/tally_node.py
@@ -165,7 +165,7 @@
                 included=row.included,
                 reach=row.reach,
             )
-            self._order.hear(row.organisation, service)
+            self._order.set_fleet_service(row.organisation, service)
 
     def failed(self, address: str, now: float) -> None:
         """Handle an address that did not respond.
--- a/packages/daisypick_core/tests/fairness/test_share_order.py
+++ b/packages/daisypick_core/tests/fairness/test_share_order.py
@@ -106,11 +106,11 @@
         order.arrive(name, 0.0)
     order.charge("farm", 30.0)
     assert order.pick(["farm", "union"], 0.0) == "union"
-    order.hear("farm", fleet(-100.0, included=30.0))
+    order.set_fleet_service("farm", fleet(-100.0, included=30.0))
     assert order.pick(["farm", "union"], 0.0) == "farm"
-    order.hear("farm", fleet(+100.0, included=10.0))
+    order.set_fleet_service("farm", fleet(+100.0, included=10.0))
     assert order.pick(["farm", "union"], 0.0) == "farm"
-    order.hear("nobody", fleet(0.0))
+    order.set_fleet_service("nobody", fleet(0.0))
     assert "nobody" not in order.accounts()
 
 
