--- a/packages/daisypick_core/src/daisypick_core/gate/idle_peers.py
+++ b/packages/daisypick_core/src/daisypick_core/gate/idle_peers.py
@@ -11,15 +11,15 @@
 
 Examples:
     >>> import random
-    >>> seeker = IdleSeeker(rng=random.Random(1))
-    >>> seeker.is_due(free=2, waiting=1, now=0.0)
+    >>> announcer = IdleAnnouncer(rng=random.Random(1))
+    >>> announcer.is_due(free=2, waiting=1, now=0.0)
     False
-    >>> seeker.is_due(free=2, waiting=0, now=0.0)
+    >>> announcer.is_due(free=2, waiting=0, now=0.0)
     True
-    >>> seeker.told(0.0)
-    >>> seeker.is_due(free=2, waiting=0, now=0.1)
+    >>> announcer.record_announced(0.0)
+    >>> announcer.is_due(free=2, waiting=0, now=0.1)
     False
-    >>> seeker.is_due(free=2, waiting=0, now=0.75)
+    >>> announcer.is_due(free=2, waiting=0, now=0.75)
     True
 """
 
@@ -30,13 +30,13 @@
 
 PERIOD = 0.5
 # Peers that an idle agent notifies each time.
-PEERS_TOLD = 2
+PEERS_PER_ANNOUNCEMENT = 2
 _JITTER = (0.5, 1.5)
 _MAX_AGE = 1.0
 _MAX_PEERS = 64
 
 
-class IdleSeeker:
+class IdleAnnouncer:
     """Schedules an agent's announcements to its peers that it is idle."""
 
     def __init__(self, *, rng: random.Random) -> None:
@@ -53,7 +53,7 @@
         """
         return free > 0 and waiting == 0 and now >= self._next_at
 
-    def told(self, now: float) -> None:
+    def record_announced(self, now: float) -> None:
         """Record that peers were notified."""
         self._next_at = now + PERIOD * self._rng.uniform(*_JITTER)
 
--- a/packages/daisypick_lab/src/daisypick_lab/dispatch_model.py
+++ b/packages/daisypick_lab/src/daisypick_lab/dispatch_model.py
@@ -146,7 +146,7 @@
         self.server = server_model.ServerModel(
             clock=fleet.clock, times=fleet.times
         )
-        self.seeker = idle_peers.IdleSeeker(
+        self.seeker = idle_peers.IdleAnnouncer(
             rng=random.Random(f"{fleet.seed} {name}")
         )
         self._fleet = fleet
@@ -174,8 +174,8 @@
             free=load.free, waiting=load.waiting, now=now
         ):
             return
-        self.seeker.told(now)
-        for _ in range(idle_peers.PEERS_TOLD):
+        self.seeker.record_announced(now)
+        for _ in range(idle_peers.PEERS_PER_ANNOUNCEMENT):
             peer = self._fleet.rng.choice(self._fleet.agents)
             self._fleet.watch.notices += 1
             self._fleet.network.send(
--- a/packages/daisypick_node/src/daisypick_node/agent/idle_word.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/idle_word.py
@@ -31,7 +31,7 @@
         self._peers = peers
         self._address = ""
         self._rng = rng
-        self._seeker = idle_peers.IdleSeeker(rng=rng)
+        self._seeker = idle_peers.IdleAnnouncer(rng=rng)
         self._others: list[str] = []
 
     def set_configuration(self, configuration: model.Configuration) -> None:
@@ -57,8 +57,8 @@
             free=load.free, waiting=load.waiting, now=now
         ):
             return
-        self._seeker.told(now)
-        count = min(idle_peers.PEERS_TOLD, len(self._others))
+        self._seeker.record_announced(now)
+        count = min(idle_peers.PEERS_PER_ANNOUNCEMENT, len(self._others))
         word = attempt_routes.IdleWord(agent=self._address, load=load)
         for other in self._rng.sample(self._others, count):
             gevent.spawn(
