--- a/packages/daisypick_core/src/daisypick_core/claims/batcher.py
+++ b/packages/daisypick_core/src/daisypick_core/claims/batcher.py
@@ -55,7 +55,7 @@
             Together with ``entry.SHARD_COUNT`` it bounds the rate of store
             writes of the whole fleet, regardless of the number of claims.
         retry_delay: Mean seconds before a store call is retried.
-        patience: Seconds after which a claim that is not settled is
+        timeout: Seconds after which a claim that is not settled is
             ``Unavailable``.
         claims: Maximum number of waiting claims.
         idle: Seconds after which a shard without claims is dropped from
@@ -64,7 +64,7 @@
 
     write_interval: float = 0.3
     retry_delay: float = 0.05
-    patience: float = 2.0
+    timeout: float = 2.0
     claims: int = 4096
     idle: float = 2 * shard_view.REMEMBER_SECONDS
 
@@ -142,7 +142,7 @@
             work = _ShardWork(number=number, now=now)
             self._work_by_shard[number] = work
         work.used_at = now
-        expires_at = now + self._limits.patience
+        expires_at = now + self._limits.timeout
         waiting = _WaitingClaim(claim=claim, expires_at=expires_at)
         work.waiting_by_ticket[ticket] = waiting
         self._waiting_count += 1
--- a/packages/daisypick_node/src/daisypick_node/agent/claim_service.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/claim_service.py
@@ -85,7 +85,7 @@
         self._claimant = core_claimant.Claimant(agent="")
         self._batcher = core_batcher.Batcher(
             rng=rng,
-            limits=core_batcher.BatcherLimits(patience=BATCHER_PATIENCE),
+            limits=core_batcher.BatcherLimits(timeout=BATCHER_PATIENCE),
         )
         self._tickets = itertools.count()
         self._settled_by_ticket: dict[int, gevent.event.AsyncResult] = {}
