--- a/packages/daisypick_core/src/daisypick_core/claims/actions.py
+++ b/packages/daisypick_core/src/daisypick_core/claims/actions.py
@@ -3,7 +3,7 @@
 The driver of a batcher performs ``Read``, ``Write`` and ``Delete`` on the
 platform's store and reports each result with ``Batcher.done``; it returns
 ``Settle`` to the agent that submitted the claim. The driver of a claimant
-performs ``Commit`` and ``Ask`` and passes ``Conclude`` to the gate.
+performs ``Commit`` and ``QueryHolder`` and passes ``Conclude`` to the gate.
 """
 
 import typing
@@ -63,7 +63,7 @@
     batcher: str
 
 
-class Ask(typing.NamedTuple):
+class QueryHolder(typing.NamedTuple):
     """Query the agent of ``holder`` for the status of its attempt."""
 
     attempt_id: str
@@ -79,4 +79,4 @@
 
 StoreCall = Read | Write | Delete
 BatcherAction = StoreCall | Settle
-ClaimantAction = Commit | Release | Ask | Conclude
+ClaimantAction = Commit | Release | QueryHolder | Conclude
--- a/packages/daisypick_core/src/daisypick_core/claims/claimant.py
+++ b/packages/daisypick_core/src/daisypick_core/claims/claimant.py
@@ -131,7 +131,9 @@
             return self._conclude(attempt_id, verdict)
         querying = pending._replace(holder=outcome.holder)
         self._pending_by_attempt[attempt_id] = querying
-        return [actions.Ask(attempt_id=attempt_id, holder=outcome.holder)]
+        return [
+            actions.QueryHolder(attempt_id=attempt_id, holder=outcome.holder)
+        ]
 
     def batcher_failed(
         self, attempt_id: str, batcher: str, now: float
--- a/packages/daisypick_core/tests/claims/test_at_most_once.py
+++ b/packages/daisypick_core/tests/claims/test_at_most_once.py
@@ -130,7 +130,7 @@
                 self.post(self.deliver_commit, process, action, on_loss=failed)
             elif isinstance(action, claim_actions.Release):
                 self.post(self.deliver_release, action)
-            elif isinstance(action, claim_actions.Ask):
+            elif isinstance(action, claim_actions.QueryHolder):
                 no_response = functools.partial(
                     self.status_received, process, action, None
                 )
--- a/packages/daisypick_core/tests/claims/test_claimant.py
+++ b/packages/daisypick_core/tests/claims/test_claimant.py
@@ -38,7 +38,7 @@
 
 def commit_held(subject, holder):
     (query,) = subject.committed("x", outcomes.Held(holder=holder), 0.0)
-    assert query == actions.Ask(attempt_id="x", holder=holder)
+    assert query == actions.QueryHolder(attempt_id="x", holder=holder)
 
 
 def conclusion(due):
--- a/packages/daisypick_node/src/daisypick_node/agent/claim_service.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/claim_service.py
@@ -184,7 +184,7 @@
         finally:
             self._releasing -= 1
 
-    def _ask_holder(self, action: actions.Ask) -> None:
+    def _ask_holder(self, action: actions.QueryHolder) -> None:
         status = self._question(action.holder)
         self._pursue(
             self._claimant.answered(
@@ -265,7 +265,7 @@
 _handler_by_action: dict[type, Callable[..., None]] = {
     actions.Commit: ClaimService._commit_claim,
     actions.Release: ClaimService._release_claim,
-    actions.Ask: ClaimService._ask_holder,
+    actions.QueryHolder: ClaimService._ask_holder,
 }
 
 
