--- a/packages/daisypick_core/src/daisypick_core/claims/batcher.py
+++ b/packages/daisypick_core/src/daisypick_core/claims/batcher.py
@@ -66,7 +66,7 @@
     retry_delay: float = 0.05
     timeout: float = 2.0
     claims: int = 4096
-    idle: float = 2 * shard_view.REMEMBER_SECONDS
+    idle: float = 2 * shard_view.RETENTION_SECONDS
 
 
 class _WaitingClaim(typing.NamedTuple):
--- a/packages/daisypick_core/src/daisypick_core/claims/shard_view.py
+++ b/packages/daisypick_core/src/daisypick_core/claims/shard_view.py
@@ -12,7 +12,7 @@
 from daisypick_core.claims import shard as shard_value
 
 # Minimum time for which a key is remembered after its claim.
-REMEMBER_SECONDS = 3600.0
+RETENTION_SECONDS = 3600.0
 
 
 class Decision(typing.NamedTuple):
@@ -139,14 +139,14 @@
         """Return the oldest span that must be retained.
 
         A span is dropped after this process has known it as sealed for
-        ``REMEMBER_SECONDS`` on its own monotonic clock. With stored times the
+        ``RETENTION_SECONDS`` on its own monotonic clock. With stored times the
         clocks of two processes would be compared, and one that is ahead would
         drop keys too early, so that their requests run again.
         """
         first = head.first
         while first < self.head.next:
             seen_at = self._seen_at_by_span.get(first, now)
-            if now - seen_at < REMEMBER_SECONDS:
+            if now - seen_at < RETENTION_SECONDS:
                 break
             first += 1
         return first
--- a/packages/daisypick_core/tests/claims/test_at_most_once.py
+++ b/packages/daisypick_core/tests/claims/test_at_most_once.py
@@ -41,7 +41,7 @@
 PAUSES = (0.05, 0.5, 3.0, 61.0, 61.0)
 # A run ends before keys may be dropped, since at-most-once execution is
 # guaranteed only until then.
-LAST_SECOND = shard_view.REMEMBER_SECONDS - 100.0
+LAST_SECOND = shard_view.RETENTION_SECONDS - 100.0
 
 
 def is_stale(due):
--- a/packages/daisypick_core/tests/claims/test_batcher.py
+++ b/packages/daisypick_core/tests/claims/test_batcher.py
@@ -287,11 +287,11 @@
     driver.claim(first)
     fill(driver, count=1)
     late = BatcherDriver(store)
-    late.now = 10 * shard_view.REMEMBER_SECONDS
+    late.now = 10 * shard_view.RETENTION_SECONDS
     assert isinstance(late.claim(make_claim("y")), outcomes.Held)
-    driver.tick(shard_view.REMEMBER_SECONDS - 1.0)
+    driver.tick(shard_view.RETENTION_SECONDS - 1.0)
     assert isinstance(driver.claim(make_claim("y")), outcomes.Held)
-    driver.tick(shard_view.REMEMBER_SECONDS)
+    driver.tick(shard_view.RETENTION_SECONDS)
     assert isinstance(driver.claim(make_claim("z")), outcomes.Granted)
     number = claim_entry.shard_of(first.entry.digest)
     assert shard.span_name(number, 0) not in store.names
--- a/packages/daisypick_lab/src/daisypick_lab/claims_model.py
+++ b/packages/daisypick_lab/src/daisypick_lab/claims_model.py
@@ -183,7 +183,7 @@
     store = memory_store.MemoryStore()
     first = make_claim(0, rng)
     number = claim_entry.shard_of(first.entry.digest)
-    claims = rate / claim_entry.SHARD_COUNT * shard_view.REMEMBER_SECONDS
+    claims = rate / claim_entry.SHARD_COUNT * shard_view.RETENTION_SECONDS
     spans = int(claims / shard.HEAD_ENTRIES)
     for span in range(spans):
         entries = [make_claim(n, rng).entry for n in range(shard.HEAD_ENTRIES)]
