--- a/packages/daisypick_core/src/daisypick_core/fairness/collector.py
+++ b/packages/daisypick_core/src/daisypick_core/fairness/collector.py
@@ -71,7 +71,7 @@
 
     def receive(
         self, report: reports.AgentReport, now: float
-    ) -> reports.AgentAnswer:
+    ) -> reports.AgentResponse:
         """Merge an agent's report and return the response."""
         self._sweep(now)
         self._largest = max(self._largest, report.largest)
@@ -80,7 +80,7 @@
             mark = tally.Mark(served=row.served, included=row.included)
             self._tally.merge(report.incarnation, row.organisation, mark, now)
         views = self._fresh_views(now)
-        return reports.AgentAnswer(
+        return reports.AgentResponse(
             sequence=report.sequence,
             next_report_in=self._fan_in.next_report_in,
             agents=max((view.agents for view in views), default=0),
@@ -106,7 +106,7 @@
         ]
 
     def answered(
-        self, head: str, answer: reports.RelayAnswer, now: float
+        self, head: str, answer: reports.RelayResponse, now: float
     ) -> None:
         """Handle a head's response.
 
--- a/packages/daisypick_core/src/daisypick_core/fairness/head.py
+++ b/packages/daisypick_core/src/daisypick_core/fairness/head.py
@@ -89,7 +89,7 @@
 
     def receive(
         self, report: reports.RelayReport, now: float
-    ) -> reports.RelayAnswer:
+    ) -> reports.RelayResponse:
         """Merge a collector's report and return the response.
 
         A report for the previous incarnation at this address is discarded. It
@@ -236,8 +236,8 @@
         report: reports.RelayReport,
         rows: list[reports.HeadRow],
         now: float,
-    ) -> reports.RelayAnswer:
-        return reports.RelayAnswer(
+    ) -> reports.RelayResponse:
+        return reports.RelayResponse(
             head=self._incarnation,
             settled_for=max(0.0, now - self._settled_at),
             sequence=report.sequence,
--- a/packages/daisypick_core/src/daisypick_core/fairness/reports.py
+++ b/packages/daisypick_core/src/daisypick_core/fairness/reports.py
@@ -1,8 +1,8 @@
 """Messages between agents about service.
 
 There are two batched exchanges of a request and its response: an agent with
-the collector of its data centre (``AgentReport``, ``AgentAnswer``), and a
-collector with a head of the service (``RelayReport``, ``RelayAnswer``). Rows
+the collector of its data centre (``AgentReport``, ``AgentResponse``), and a
+collector with a head of the service (``RelayReport``, ``RelayResponse``). Rows
 are JSON arrays. Every report holds its sender's incarnation and a sequence
 number, so that a late one can be recognised.
 
@@ -62,7 +62,7 @@
     reach: int
 
 
-class AgentAnswer(typing.NamedTuple):
+class AgentResponse(typing.NamedTuple):
     """From the collector back to the agent.
 
     Attributes:
@@ -137,7 +137,7 @@
     reach: int
 
 
-class RelayAnswer(typing.NamedTuple):
+class RelayResponse(typing.NamedTuple):
     """From the head back to the collector.
 
     Attributes:
@@ -164,4 +164,4 @@
 
 
 Report = AgentReport | RelayReport
-Answer = AgentAnswer | RelayAnswer
+Response = AgentResponse | RelayResponse
--- a/packages/daisypick_core/src/daisypick_core/fairness/tally_node.py
+++ b/packages/daisypick_core/src/daisypick_core/fairness/tally_node.py
@@ -137,18 +137,18 @@
             sends += self._deliver(address, relay, now)
         return sends
 
-    def receive(self, report: reports.Report, now: float) -> reports.Answer:
+    def receive(self, report: reports.Report, now: float) -> reports.Response:
         """Handle a report of an agent or a collector."""
         if isinstance(report, reports.AgentReport):
             return self._collector.receive(report, now)
         return self._head.receive(report, now)
 
     def answered(
-        self, address: str, answer: reports.Answer, now: float
+        self, address: str, answer: reports.Response, now: float
     ) -> None:
         """Handle the response to a report."""
         self._failed_once.discard(address)
-        if isinstance(answer, reports.RelayAnswer):
+        if isinstance(answer, reports.RelayResponse):
             self._collector.answered(address, answer, now)
             return
         if answer.sequence <= self._answered_sequence:
--- a/packages/daisypick_core/tests/fairness/test_collector.py
+++ b/packages/daisypick_core/tests/fairness/test_collector.py
@@ -22,7 +22,7 @@
 
 
 def make_answer(report, virtual, *, head="h1", settled_for=9.0):
-    return reports.RelayAnswer(
+    return reports.RelayResponse(
         head=head,
         settled_for=settled_for,
         sequence=report.sequence,
--- a/packages/daisypick_lab/src/daisypick_lab/fairness_fleet.py
+++ b/packages/daisypick_lab/src/daisypick_lab/fairness_fleet.py
@@ -329,7 +329,7 @@
         )
 
     def _take_answer(
-        self, sender: Agent, address: str, answer: reports.Answer
+        self, sender: Agent, address: str, answer: reports.Response
     ) -> None:
         if sender.is_alive:
             sender.node.answered(address, answer, self.now)
--- a/packages/daisypick_node/src/daisypick_node/agent/tally_service.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/tally_service.py
@@ -148,9 +148,9 @@
 
     def _send(self, node: tally_node.TallyNode, send: tally_node.Send) -> None:
         if isinstance(send.report, reports.AgentReport):
-            path, answer_type = AGENT, reports.AgentAnswer
+            path, answer_type = AGENT, reports.AgentResponse
         else:
-            path, answer_type = RELAY, reports.RelayAnswer
+            path, answer_type = RELAY, reports.RelayResponse
         data = self._peers.call(send.address, "POST", path, send.report)
         answer = peers_module.decode(data, answer_type)
         if failure_value.is_failure(answer):
