--- a/packages/daisypick_core/src/daisypick_core/configuration/__init__.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/__init__.py
@@ -1,27 +1,27 @@
 """The operators' configuration as immutable values.
 
-From a folder to a value:
+Loading a folder of files:
 
 * ``model``: organisations, services, backend servers and data centres.
 * ``sections``: the sections and keys of a file, derived from the model.
-* ``merge``: files merged in name order, each value with its file.
-* ``check``: the whole check; ``values`` and ``relations`` hold the rules.
-* ``faults``: what a check finds.
+* ``merge``: merges files in name order and records the file of each value.
+* ``check``: the whole validation; ``values`` and ``relations`` hold the rules.
+* ``faults``: the faults that validation finds.
 
-From process to process:
+Representation in transit and in the store:
 
 * ``chunks``: a configuration as content-addressed chunks.
-* ``root``: the one object that says which configuration is in force.
-* ``patch``: from one tree of chunks to the next, reading what differs.
-* ``difference``: what differs between two configurations, key by key.
+* ``root``: the object that identifies the configuration in force.
+* ``patch``: applies the difference between two trees of chunks.
+* ``difference``: the difference between two configurations, key by key.
 * ``wire``: roots and chunks as JSON.
 
-How it reaches every process:
+Distribution to all processes:
 
-* ``spread``: the holder of a process, driven by contacts and ticks.
-* ``starting``: whom it has asked at the start.
-* ``rounds``: when it tells peers, or asks the store.
-* ``spread_actions``: what it asks its driver to do.
-* ``holdings``, ``fetch``, ``claimed``: its chunks, its fetch on the way, and
-  whom it believes to be ahead.
+* ``spread``: the state machine of one process, driven by contacts and ticks.
+* ``starting``: the sources queried at startup.
+* ``rounds``: the schedule of notices to peers and queries to the store.
+* ``spread_actions``: the actions that the driver carries out.
+* ``holdings``, ``fetch``, ``claimed``: the chunks held, the fetch in progress,
+  and the generation that each source reports.
 """
--- a/packages/daisypick_core/src/daisypick_core/configuration/check.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/check.py
@@ -1,8 +1,8 @@
-r"""Check a merged folder as a whole and make the configuration of it.
+r"""Validate a merged folder as a whole and build its configuration.
 
-Three passes: each value by itself (type, then the checks registered for its
-key), each entry, and the entries among each other. All faults are collected;
-only a folder without any becomes a configuration.
+Validation has three passes: single values (type, then the checks registered
+for the key), single entries, and relations between entries. All faults are
+collected; only a folder without faults becomes a configuration.
 
 Examples:
     >>> from daisypick_core.configuration import merge
@@ -31,13 +31,14 @@
 
 
 class Checked(typing.NamedTuple):
-    """Outcome of a check.
+    """Result of a validation.
 
     Attributes:
-        configuration: With generation 0; ``None`` if there are faults.
-        faults: In the order of file and key.
+        configuration: The configuration with generation 0; ``None`` if there
+            are faults.
+        faults: All faults, sorted by file and key.
         file_by_key: File of each value by dotted key, ``DEFAULT`` for a
-            value that no file gives.
+            value that no file sets.
     """
 
     configuration: model.Configuration | None
@@ -107,7 +108,7 @@
 
 
 def _file_at_fault(fault: faults.Fault, file_by_key: dict[str, str]) -> str:
-    """Return the file of the value, or of the entry that lacks it."""
+    """Return the file that sets the value, or that defines its entry."""
     file = file_by_key[fault.key]
     if file != DEFAULT:
         return file
--- a/packages/daisypick_core/src/daisypick_core/configuration/chunks.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/chunks.py
@@ -1,14 +1,16 @@
-"""Content-addressed chunks: what travels when a configuration changes.
+"""Content-addressed chunks, the unit of transfer of a configuration.
 
-The entries are placed by the hash of their names in a tree. A leaf holds up
-to ``LEAF_LIMIT`` entries; a fuller one becomes a node of ``FANOUT`` children.
-The tree depends on the entries alone, not on the order of changes, so every
-process that holds the same entries holds the same chunks. A chunk is known
-by the hash of its bytes: a change of one entry makes a new leaf and the new
-nodes above it, and all other chunks stay what they are (a Merkle tree).
+Entries are placed in a tree by the hash of their names. A leaf holds up to
+``LEAF_LIMIT`` entries; a larger one is split into a node of ``FANOUT``
+children. The tree depends on the entries alone, not on the order of changes,
+so every process with the same entries has the same chunks. A chunk is
+identified by the hash of its bytes: a change of one entry creates a new leaf
+and new nodes on the path above it, and all other chunks are unchanged (a
+Merkle tree).
 
 A leaf is a JSON object of entries, a node a JSON array of child hashes with
-``""`` for an empty child. A leaf keeps only what differs from the defaults.
+``""`` for an empty child. A leaf stores only values that differ from the
+defaults.
 
 Examples:
     >>> tree = split(model.EMPTY)
@@ -36,8 +38,8 @@
 
 FANOUT = 16
 LEAF_LIMIT = 32
-# 96 bits: at 12,000 changes a day, some 10**8 chunks in five years collide
-# with a chance of 10**-13.
+# 96 bits: the 10**8 chunks that 12,000 changes a day create in five years
+# collide with a probability of 10**-13.
 _HASH_BYTES = 12
 _MAX_DEPTH = 8
 
@@ -50,8 +52,8 @@
     """A configuration as chunks.
 
     Attributes:
-        top: Hash of the chunk at the top.
-        chunk_by_hash: All chunks.
+        top: Hash of the top chunk.
+        chunk_by_hash: All chunks of the tree.
     """
 
     top: str
@@ -59,7 +61,7 @@
 
 
 def hash_chunk(chunk: bytes) -> str:
-    """Return the hash by which a chunk is known, 16 URL-safe characters."""
+    """Return the hash that identifies a chunk, 16 URL-safe characters."""
     digest = hashlib.blake2b(chunk, digest_size=_HASH_BYTES).digest()
     return base64.urlsafe_b64encode(digest).decode()
 
@@ -81,10 +83,10 @@
 
 
 def children(chunk: bytes) -> tuple[str, ...]:
-    """Return the hashes that a chunk names, none for a leaf.
+    """Return the child hashes of a node, none for a leaf.
 
     Raises:
-        msgspec.DecodeError: The bytes are no chunk.
+        msgspec.DecodeError: The bytes are not a valid chunk.
     """
     decoded = _decoder.decode(chunk)
     if isinstance(decoded, dict):
@@ -93,7 +95,7 @@
 
 
 def missing_chunks(top: str, chunk_by_hash: Mapping[str, bytes]) -> list[str]:
-    """Return the hashes below ``top`` that are known but not held."""
+    """Return the hashes referenced below ``top`` whose chunks are not held."""
     missing: list[str] = []
     pending = [top]
     while pending:
@@ -109,10 +111,10 @@
 def changed_chunks(
     top_a: str, top_b: str, chunk_by_hash: Mapping[str, bytes]
 ) -> set[str]:
-    """Return the hashes that a holder of tree a lacks of tree b.
+    """Return the hashes of chunks that are in tree b but not in tree a.
 
-    The trees are walked level by level and subtrees that both share are
-    skipped, so the work is that of the change.
+    The trees are walked level by level and shared subtrees are skipped, so
+    the cost is proportional to the size of the change.
 
     Raises:
         KeyError: A chunk of either tree is not held.
@@ -140,7 +142,7 @@
 def join(
     generation: int, top: str, chunk_by_hash: Mapping[str, bytes]
 ) -> model.Configuration | failure_value.Failure:
-    """Return the configuration of a whole tree, or ``BAD_CHUNK``."""
+    """Return the configuration of a complete tree, or ``BAD_CHUNK``."""
     entries_by_section: dict[str, dict[str, typing.Any]] = {}
     try:
         for path, fields in _entries_below(top, chunk_by_hash):
@@ -158,10 +160,10 @@
 
 
 def leaf_entries(chunk: bytes) -> dict[str, Fields]:
-    """Return the entries of a leaf by ``section/name``, none of a node.
+    """Return the entries of a leaf by ``section/name``, none for a node.
 
     Raises:
-        msgspec.DecodeError: The bytes are no chunk.
+        msgspec.DecodeError: The bytes are not a valid chunk.
     """
     decoded = _decoder.decode(chunk)
     return decoded if isinstance(decoded, dict) else {}
@@ -170,10 +172,10 @@
 def make_entry(
     section: sections.Section, name: str, fields: Fields
 ) -> typing.Any:
-    """Make an entry; keys of a later release are left out.
+    """Build an entry; unknown keys, as of a later release, are ignored.
 
     Raises:
-        msgspec.ValidationError: A value has another type.
+        msgspec.ValidationError: A value has the wrong type.
         TypeError: A required key is missing.
     """
     known = {
@@ -219,7 +221,7 @@
 
 
 class _Builder:
-    """Builds the tree of sorted entries from the leaves up."""
+    """Builds the tree of sorted entries bottom-up."""
 
     def __init__(
         self, chunk_by_hash: dict[str, bytes], bits: int, leaf_limit: int
@@ -229,7 +231,7 @@
         self._leaf_limit = leaf_limit
 
     def build(self, placed: _Placed, depth: int) -> str:
-        """Store the chunks of some entries; return the top's hash."""
+        """Store the chunks of a subtree; return the hash of its top chunk."""
         if len(placed) <= self._leaf_limit or depth == _MAX_DEPTH:
             return self._store({path: entry for _, path, entry in placed})
         shift = 64 - self._bits * (depth + 1)
--- a/packages/daisypick_core/src/daisypick_core/configuration/claimed.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/claimed.py
@@ -1,7 +1,8 @@
-"""Which generation each source is believed to have.
+"""The generation that each source last reported.
 
-Bounded, and only of sources that are ahead. A source that fails is left alone
-for a while and then tried again, since nothing else may know what it knows.
+The table is bounded and keeps only sources that are ahead. A source that
+fails is suspended for a while and then retried, since it may be the only one
+with its generation.
 
 Examples:
     >>> claims = Claims(rng=random.Random(1))
@@ -19,7 +20,7 @@
 
 
 class Claims:
-    """Generations by source."""
+    """Reported generations by source."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
@@ -27,11 +28,11 @@
         self._until_by_source: dict[str, float] = {}
 
     def claim(self, source: str) -> int:
-        """Return what a source is believed to have, 0 for nothing."""
+        """Return the generation that a source reported, 0 if none."""
         return self._generation_by_source.get(source, 0)
 
     def note(self, source: str, generation: int) -> None:
-        """Note what a source says; the highest counts."""
+        """Record a generation reported by a source; the highest is kept."""
         highest = max(self.claim(source), generation)
         self._generation_by_source[source] = highest
         if len(self._generation_by_source) > LIMIT:
@@ -42,21 +43,21 @@
             del self._generation_by_source[lowest]
 
     def set(self, source: str, generation: int) -> None:
-        """Note what a source has shown to hold, also if it is less."""
+        """Set the generation that a source was seen to have, even if lower."""
         self._until_by_source.pop(source, None)
         self._generation_by_source.pop(source, None)
         if generation > 0:
             self.note(source, generation)
 
     def suspend(self, source: str, until: float) -> None:
-        """Leave a source alone for a while."""
+        """Do not select a source before the given time."""
         self._until_by_source.pop(source, None)
         self._until_by_source[source] = until
         if len(self._until_by_source) > LIMIT:
             del self._until_by_source[next(iter(self._until_by_source))]
 
     def best(self, *, above: int, now: float) -> str | None:
-        """Return a source with the highest generation above a bound."""
+        """Return a usable source with the highest generation above a bound."""
         usable = {
             source: generation
             for source, generation in self._generation_by_source.items()
@@ -71,14 +72,14 @@
         )
 
     def is_ahead(self, generation: int) -> bool:
-        """Tell whether a source that has not failed is ahead."""
+        """Return whether a source that has not failed is ahead."""
         return any(
             claimed > generation and source not in self._until_by_source
             for source, claimed in self._generation_by_source.items()
         )
 
     def forget_up_to(self, generation: int) -> None:
-        """Drop the sources that are not ahead any more."""
+        """Drop the sources that are no longer ahead."""
         self._generation_by_source = {
             source: claimed
             for source, claimed in self._generation_by_source.items()
--- a/packages/daisypick_core/src/daisypick_core/configuration/difference.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/difference.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations, key by key.
+"""The difference between two configurations, key by key.
 
 Examples:
     >>> from daisypick_core.configuration import sections
@@ -35,8 +35,8 @@
         section: Name of the section.
         name: Name of the entry.
         key: The key that changed, ``""`` for a whole entry.
-        before: Its value in the first configuration.
-        after: Its value in the second.
+        before: Value in the first configuration.
+        after: Value in the second configuration.
     """
 
     kind: str
@@ -48,7 +48,7 @@
 
     @property
     def path(self) -> str:
-        """The dotted key."""
+        """The dotted path of the key."""
         path = f"{self.section}.{self.name}"
         return f"{path}.{self.key}" if self.key else path
 
@@ -111,10 +111,11 @@
     current: model.Configuration,
     wanted: model.Configuration,
 ) -> list[Change]:
-    """Return what others changed since ``base`` and ``wanted`` would undo.
+    """Return changes since ``base`` that ``wanted`` would revert.
 
     Examples:
-        Another operator took sofia out; my folder still has it in:
+        Another operator took sofia out of service, but the folder to be
+        applied still has it in service:
 
         >>> from daisypick_core.configuration import sections
         >>> def place(is_in):
--- a/packages/daisypick_core/src/daisypick_core/configuration/faults.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/faults.py
@@ -1,7 +1,7 @@
-"""What is wrong with a folder of configuration files.
+"""Faults of a folder of configuration files.
 
-The check lists every fault at once, so that an operator mends a folder in
-one round. Each fault names the file, the key and the reason.
+Validation reports every fault at once, so that an operator can correct a
+folder in one pass. Each fault names the file, the key and the reason.
 
 Examples:
     >>> from daisypick_core.results import codes
@@ -21,10 +21,10 @@
     """One fault of a folder.
 
     Attributes:
-        file: Name of the file that gave the value.
+        file: Name of the file that set the value.
         key: Dotted key, e.g. ``organisations.union.share``.
         code: One of the codes 6xxx.
-        reason: What is wrong, in a few words.
+        reason: Short description of the fault.
     """
 
     file: str
--- a/packages/daisypick_core/src/daisypick_core/configuration/fetch.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/fetch.py
@@ -1,8 +1,8 @@
-"""One fetch of a tree: what is still wanted, what has come.
+"""One fetch of a tree: the chunks still missing and those received.
 
-Only chunks that the tree names are taken, each checked against its hash, so
-a wrong answer costs time and nothing else. What has come stays useful when
-the source fails and another one goes on.
+Only chunks that the tree references are accepted, each verified against its
+hash, so a wrong response delays the fetch but does no other harm. The chunks
+received are reused when the source fails and the fetch continues at another.
 """
 
 from collections.abc import Mapping
@@ -16,13 +16,13 @@
 
 
 class Fetch:
-    """The chunks of one root on their way.
+    """A fetch of the chunks of one root.
 
     Attributes:
-        root: The root that is fetched.
-        source: Where from.
-        since: Time of the last step, seconds.
-        staged: Chunks that have come.
+        root: The root whose chunks are fetched.
+        source: The source that is asked for them.
+        since: Time of the last progress, seconds.
+        staged: Chunks received and referenced by the tree.
         packs_left: Stored objects not read yet, newest last.
     """
 
@@ -48,18 +48,19 @@
 
     @property
     def is_whole(self) -> bool:
-        """Whether nothing is wanted any more."""
+        """Whether all chunks of the tree are present."""
         return not self._wanted
 
     def next_hashes(self, limit: int) -> tuple[str, ...]:
-        """Return some of the wanted hashes."""
+        """Return up to ``limit`` hashes of missing chunks."""
         return tuple(sorted(self._wanted)[:limit])
 
     def offer(self, chunk_by_hash: Mapping[str, bytes]) -> bool:
-        """Take what is wanted; return whether anything was.
+        """Accept the missing chunks; return whether there were any.
 
-        Chunks that may be wanted later are kept until the fetch ends: in the
-        store, a leaf can lie in an older object than the node that names it.
+        Chunks that may be referenced later are kept until the fetch ends: in
+        the store, a leaf can be in an older object than the node that
+        references it.
         """
         before = len(self.staged)
         self._spare |= wire.keep_sound(chunk_by_hash)
@@ -79,7 +80,7 @@
         try:
             below = chunks.children(chunk)
         except msgspec.MsgspecError:
-            # The patch will refuse the tree and say why.
+            # The patch will reject the tree with a reason.
             return
         for child in below:
             self._want(child)
@@ -89,5 +90,5 @@
         if is_held or chunk_hash in self.staged:
             return
         self._wanted.add(chunk_hash)
-        # A chunk of a former tree is there, but what is below it may not be.
+        # A chunk of a former tree may be held without the chunks below it.
         self._spare |= self._holdings.give([chunk_hash])
--- a/packages/daisypick_core/src/daisypick_core/configuration/holdings.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/holdings.py
@@ -1,8 +1,8 @@
-"""The chunks that a process holds, and what it can give to others.
+"""The chunks that a process holds and serves to its peers.
 
-Besides the tree in force, chunks of the last trees are kept: a peer that is
-a few changes behind says which top it has and gets all that differs in one
-answer.
+Chunks of recent trees are kept besides those of the tree in force: a peer
+that is a few changes behind sends the hash of its top chunk and receives all
+chunks that differ in one response.
 
 Examples:
     >>> holdings = Holdings()
@@ -21,20 +21,20 @@
 from daisypick_core.configuration import model
 
 EMPTY_TREE = chunks.split(model.EMPTY)
-# At ten times the letter's rate of change this is a minute's worth.
+# Covers about one minute at ten times the expected rate of change.
 HISTORY_LIMIT = 64
 BUNDLE_BYTES = 256_000
 
 
 class _Past(typing.NamedTuple):
-    """A former tree and the chunks that fell away with it."""
+    """A former tree and its chunks that the next tree did not use."""
 
     top: str
     dropped: frozenset[str]
 
 
 class Holdings:
-    """The tree in force and some of its predecessors.
+    """The chunks of the tree in force and of recent trees.
 
     Attributes:
         top: Hash of the top chunk in force.
@@ -48,7 +48,7 @@
         self._past: collections.deque[_Past] = collections.deque()
 
     def is_live(self, chunk_hash: str) -> bool:
-        """Tell whether a chunk belongs to the tree in force."""
+        """Return whether a chunk belongs to the tree in force."""
         return chunk_hash in self._live
 
     def move_to(self, top: str, staged: Mapping[str, bytes]) -> None:
@@ -73,7 +73,7 @@
             self.chunk_by_hash.pop(chunk_hash, None)
 
     def give(self, hashes: Iterable[str]) -> dict[str, bytes]:
-        """Return those of the chunks that are held."""
+        """Return the requested chunks that are held."""
         return {
             chunk_hash: self.chunk_by_hash[chunk_hash]
             for chunk_hash in hashes
@@ -81,10 +81,11 @@
         }
 
     def bundle(self, have: str) -> dict[str, bytes]:
-        """Return what a holder of the tree ``have`` lacks.
+        """Return the chunks that a peer with the tree ``have`` lacks.
 
-        For a tree that is not remembered, or too great a difference, this is
-        the top chunk alone, from which the other side finds its way.
+        For an unknown tree, or if the difference exceeds ``BUNDLE_BYTES``,
+        this is the top chunk alone; the peer then requests the chunks that it
+        references.
         """
         if have in ("", self.top):
             return {}
--- a/packages/daisypick_core/src/daisypick_core/configuration/merge.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/merge.py
@@ -1,9 +1,9 @@
 r"""Merge the files of a folder in the order of their names.
 
-A change is a new file: a value in a later file replaces the one of an
-earlier file, key by key. ``absent = true`` removes an entry that an earlier
-file made; a file after that may make it anew. Every value remembers the file
-it came from.
+A value in a later file overrides the value of an earlier file, key by key, so
+a change can be made by adding a file. ``absent = true`` removes an entry that
+an earlier file defined; a later file may define it again. Each value keeps
+the name of the file that set it.
 
 Examples:
     >>> merged = merge([
@@ -31,7 +31,7 @@
 
 
 class Value(typing.NamedTuple):
-    """A value as its file gave it, not checked yet."""
+    """An unvalidated value and the file that set it."""
 
     value: typing.Any
     file: str
@@ -41,8 +41,8 @@
     """An entry as merged so far.
 
     Attributes:
-        file: The file that made the entry.
-        values: The given values by key.
+        file: The file that defined the entry.
+        values: The values set, by key.
     """
 
     file: str
@@ -54,7 +54,7 @@
 
     Attributes:
         entries: Entries by section and name.
-        faults: What could not be merged.
+        faults: Faults that prevented a merge.
     """
 
     entries: dict[str, dict[str, Entry]]
@@ -136,7 +136,7 @@
         reason = "must be true and stand alone; to keep the entry, leave it out"
         merged.faults.append(faults.Fault(file, key, codes.BAD_VALUE, reason))
     elif merged.entries[section].pop(name, None) is None:
-        # A misspelt name would leave the entry in force without a word.
+        # Ignoring a misspelt name would silently leave the entry in force.
         label = sections.by_name[section].label
         reason = f"no earlier file has the {label} {name!r}"
         merged.faults.append(
--- a/packages/daisypick_core/src/daisypick_core/configuration/model.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/model.py
@@ -1,7 +1,8 @@
 """Organisations, services, backend servers and data centres.
 
-A configuration is one immutable value with a generation. Generations only
-rise: the one in force at a node is never replaced by a lower one.
+A configuration is one immutable value with a generation. Generations are
+monotonic: a node never replaces its configuration by one of a lower
+generation.
 
 Examples:
     >>> EMPTY.generation, len(EMPTY.organisations_by_name)
@@ -17,11 +18,11 @@
 
 
 class Organisation(typing.NamedTuple):
-    """An organisation that shares the capacity.
+    """An organisation that shares the capacity of the fleet.
 
     Attributes:
         name: Unique name.
-        share: Share of capacity, relative to the others, above 0.
+        share: Relative share of the capacity, above 0.
         key_hashes: SHA-256 (hex) of each API key of the organisation.
         max_queued: Requests that may wait at one router.
         max_open: Requests that may be open at one router.
@@ -39,7 +40,7 @@
 
     Attributes:
         method: HTTP method, or ``*`` for all.
-        path: Prefix of the path, from ``/``.
+        path: Prefix of the path, beginning with ``/``.
     """
 
     method: str
@@ -47,7 +48,7 @@
 
 
 class Service(typing.NamedTuple):
-    """A service that the organisations reach.
+    """A service that the organisations use.
 
     Attributes:
         name: Unique name; callers name it as ``model`` or in the path.
@@ -67,7 +68,7 @@
 
 
 class BackendServer(typing.NamedTuple):
-    """A backend server and the agent that is its gate.
+    """A backend server and the agent that controls admission to it.
 
     Attributes:
         name: Unique name.
@@ -75,8 +76,8 @@
         data_centre: Name of its data centre.
         address: ``host:port`` of the server itself.
         agent: ``host:port`` of its agent.
-        slots: Requests that it bears at once when warm.
-        cold_slots: Requests that it bears at once in its cold start.
+        slots: Maximum concurrent requests when warm.
+        cold_slots: Maximum concurrent requests during a cold start.
     """
 
     name: str
@@ -89,12 +90,12 @@
 
 
 class DataCentre(typing.NamedTuple):
-    """A data centre; operators take it out and bring it back in.
+    """A data centre; operators take it out of service and back in.
 
     Attributes:
         name: Unique name.
         region: Name of its region.
-        is_in: Whether it gets new work.
+        is_in: Whether it is in service and receives new work.
     """
 
     name: str
@@ -103,10 +104,10 @@
 
 
 class Configuration(typing.NamedTuple):
-    """All that the operators decide.
+    """All settings that the operators control.
 
     Attributes:
-        generation: Rises by one with each accepted change, 0 for none.
+        generation: Incremented by each accepted change, 0 for none.
         organisations_by_name: The organisations.
         services_by_name: The services.
         backend_servers_by_name: The backend servers.
--- a/packages/daisypick_core/src/daisypick_core/configuration/patch.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/patch.py
@@ -1,7 +1,8 @@
-"""Bring a configuration from one tree of chunks to the next.
+"""Update a configuration from one tree of chunks to the next.
 
-A join of 25,000 entries takes a quarter of a second, in which a process that
-has one loop relays no token. A patch reads only the leaves that differ.
+Rebuilding a configuration of 25,000 entries takes a quarter of a second and
+blocks the event loop, during which the process relays no token. A patch reads
+only the leaves that differ.
 
 Examples:
     >>> from daisypick_core.configuration import sections
@@ -32,7 +33,7 @@
 
     Attributes:
         configuration: The configuration of the new tree.
-        changed_by_section: Names of entries made, changed or removed.
+        changed_by_section: Names of entries added, changed or removed.
     """
 
     configuration: model.Configuration
@@ -52,8 +53,8 @@
     Args:
         configuration: The configuration of ``old_top``.
         old_top: Hash of its top chunk.
-        new_top: Hash of the top chunk to go to.
-        chunk_by_hash: All chunks that only one of the two trees has.
+        new_top: Hash of the top chunk of the new configuration.
+        chunk_by_hash: At least all chunks that are in only one of the trees.
         generation: Generation of the new configuration.
     """
     try:
--- a/packages/daisypick_core/src/daisypick_core/configuration/relations.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/relations.py
@@ -1,8 +1,8 @@
-"""The checks of entries among each other.
+"""Checks of relations between entries.
 
-Faults come without a file; ``check`` adds the one that gave the value. Only
-sound entries are compared, so that one bad value is told once. A name counts
-as defined if some entry bears it, even one with faults of its own.
+The faults have no file; ``check`` adds the file that set the value. Only valid
+entries are compared, so that a bad value is reported once. A name is defined
+if any entry has it, even an entry with faults of its own.
 """
 
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 def register(relation: Relation) -> Relation:
-    """Register a check of entries among each other."""
+    """Register a check of relations between entries."""
     _relations.append(relation)
     return relation
 
@@ -31,7 +31,7 @@
 def find_broken(
     configuration: model.Configuration, merged: merge.Merged
 ) -> Iterator[faults.Fault]:
-    """Yield the faults between entries."""
+    """Yield the faults in relations between entries."""
     for relation in _relations:
         yield from relation(configuration, merged)
 
@@ -60,8 +60,8 @@
 def _duplicate_key_hashes(
     configuration: model.Configuration, merged: merge.Merged
 ) -> Iterator[faults.Fault]:
-    # Two organisations with one key: the caller's work would be charged to
-    # whichever the router finds first.
+    # With one key in two organisations, requests would be charged to
+    # whichever organisation the router finds first.
     del merged
     owner_by_hash: dict[str, str] = {}
     for name, organisation in configuration.organisations_by_name.items():
@@ -79,7 +79,8 @@
 def _duplicate_addresses(
     configuration: model.Configuration, merged: merge.Merged
 ) -> Iterator[faults.Fault]:
-    # Two agents before one server would each admit its full slots.
+    # Two agents in front of one server would each admit requests for all of
+    # its slots.
     del merged
     user_by_address: dict[str, str] = {}
     for name, server in configuration.backend_servers_by_name.items():
--- a/packages/daisypick_core/src/daisypick_core/configuration/root.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/root.py
@@ -1,9 +1,9 @@
-"""The root: the one object that says which configuration is in force.
+"""The root: the object that identifies the configuration in force.
 
-The root names the top of a tree of chunks. In the platform's store it is
-written by conditional update alone, ``generation`` being one above the root
-that it replaces, so there is one root a generation. Among processes it
-travels without ``packs`` and ``recent``, which only the store's users need.
+The root references the top of a tree of chunks. In the platform's store it is
+only written by conditional update, with ``generation`` one above that of the
+root it replaces, so each generation has one root. Between processes it is
+sent without ``packs`` and ``recent``, which only readers of the store need.
 
 Examples:
     >>> root = make_root(generation=1, change_id="c1", top="t")
@@ -26,10 +26,11 @@
     """The root of a generation.
 
     Attributes:
-        generation: Rises by one with each accepted change.
-        change_id: Unique id of the change, to settle a lost answer.
+        generation: Incremented by each accepted change.
+        change_id: Unique id of the change, by which a writer that got no
+            response finds out whether its write took effect.
         top: Hash of the top chunk.
-        digest: Hash of the fields above, to notice damage.
+        digest: Hash of the fields above, to detect corruption.
         packs: Names of the stored objects that hold the chunks, oldest
             first.
         recent: Ids of the latest changes, this one last.
@@ -77,7 +78,7 @@
 
 
 def to_document(root: Root) -> RootDocument:
-    """Return the JSON form of a root, empty lists left out."""
+    """Return the JSON form of a root, without empty lists."""
     fields = {key: value for key, value in root._asdict().items() if value}
     return typing.cast(RootDocument, fields)
 
@@ -97,7 +98,7 @@
 
 
 def encode_root(root: Root) -> bytes:
-    """Return the root as it is stored."""
+    """Return the stored form of a root."""
     return msgspec.json.encode(to_document(root))
 
 
--- a/packages/daisypick_core/src/daisypick_core/configuration/rounds.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/rounds.py
@@ -1,7 +1,7 @@
-"""When a process tells its peers, or asks the store.
+"""The gossip schedule: when a process notifies peers or queries the store.
 
-Peers are chosen at random, every other time one close by, so that news is
-quick within a data centre and still reaches the others.
+Peers are chosen at random, with probability 1/2 among the nearby ones, so
+that a change spreads fast within a data centre and still reaches the others.
 
 Examples:
     >>> rounds = Rounds(rng=random.Random(1), limits=DEFAULT_LIMITS)
@@ -23,20 +23,20 @@
 
 
 class SpreadLimits(typing.NamedTuple):
-    """Times in seconds, and bounds.
+    """Times in seconds, and limits of the distribution.
 
     Attributes:
         exchange_seconds: Mean time between two exchanges of generations with
             a random peer.
-        notice_seconds: Least time between two rounds of notices.
-        notice_fanout: Peers told in a round, at most.
-        fetch_timeout: Time after which a source is given up.
-        suspend_seconds: Time for which a failed source is left alone.
-        start_peers: Peers asked at the start.
-        start_retry: Time between two rounds at the start.
-        isolated_seconds: Silence of all peers after which the store is
-            asked, at about this interval.
-        batch: Chunks asked for at once.
+        notice_seconds: Minimum time between two rounds of notices.
+        notice_fanout: Maximum number of peers notified in a round.
+        fetch_timeout: Time without progress after which a source has failed.
+        suspend_seconds: Time for which a failed source is not used.
+        start_peers: Peers queried at startup.
+        start_retry: Mean time between two rounds of queries at startup.
+        isolated_seconds: Time without contact to any peer after which the
+            store is queried, at about this interval.
+        batch: Maximum number of chunks in a request.
     """
 
     exchange_seconds: float = 2.0
@@ -54,7 +54,7 @@
 
 
 class Rounds:
-    """The timed rounds of one process."""
+    """The gossip schedule of one process."""
 
     def __init__(self, *, rng: random.Random, limits: SpreadLimits) -> None:
         self._rng = rng
@@ -69,16 +69,16 @@
 
     @property
     def peer_count(self) -> int:
-        """Peers known."""
+        """Number of known peers."""
         return len(self._peers)
 
     def set_peers(self, peers: Sequence[str], near: Sequence[str]) -> None:
-        """Take the addresses of live peers, and of those close by."""
+        """Set the addresses of the live peers and of the nearby ones."""
         self._peers = peers
         self._near = near
 
     def start(self, now: float) -> list[str]:
-        """Return the peers to ask at a start."""
+        """Return the peers to query at startup."""
         self._heard_at = now
         self._next_store = now + self._limits.isolated_seconds
         self._next_exchange = (
@@ -88,18 +88,18 @@
         return self._rng.sample(self._peers, count)
 
     def note_contact(self, now: float) -> None:
-        """Note that some peer was heard."""
+        """Record a contact with some peer."""
         self._heard_at = now
 
     def note_change(self) -> None:
-        """Note that there is something to tell."""
+        """Record that peers must be notified of a change."""
         self._must_notify = True
 
     def due_notices(self, generation: int, now: float) -> list[actions.Action]:
         """Return the notices of a round, if one is due.
 
-        Changes that come faster than rounds are told by one notice: it
-        carries the latest generation alone.
+        Changes between two rounds are combined: a notice carries only the
+        latest generation.
         """
         if not self._must_notify or now < self._next_notice:
             return []
@@ -114,11 +114,11 @@
     def due_exchanges(
         self, generation: int, now: float
     ) -> list[actions.Action]:
-        """Return what makes up for lost notices and idle processes.
+        """Return exchanges that compensate for lost notices and idle peers.
 
-        One random peer is told the generation and answers with its own, so
-        whichever of the two is behind learns of it. A process that hears
-        nobody asks the store.
+        The generation is sent to one random peer, which replies with its own,
+        so that either side learns if it is behind. A process without contact
+        to any peer queries the store.
         """
         due: list[actions.Action] = []
         if now >= self._next_exchange:
--- a/packages/daisypick_core/src/daisypick_core/configuration/sections.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/sections.py
@@ -27,8 +27,8 @@
     Attributes:
         key: Name of the key.
         type: Type of its value.
-        default: Value where no file gives one.
-        is_required: Whether some file must give a value.
+        default: Value if no file sets one.
+        is_required: Whether a file must set a value.
     """
 
     key: str
@@ -42,7 +42,7 @@
 
     Attributes:
         name: Name of the table in a file.
-        label: What one entry is called in messages.
+        label: Term for one entry in messages.
         type: Its type in ``model``.
         fields: The keys of an entry.
     """
@@ -100,7 +100,7 @@
     generation: int,
     entries_by_section: typing.Mapping[str, typing.Mapping[str, typing.Any]],
 ) -> model.Configuration:
-    """Return the configuration that holds these entries."""
+    """Return a configuration with the given entries."""
     return model.Configuration(
         generation=generation,
         **{
--- a/packages/daisypick_core/src/daisypick_core/configuration/spread.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/spread.py
@@ -1,22 +1,24 @@
-"""How a configuration reaches every process, by contact.
+"""Epidemic distribution of the configuration to all processes.
 
 A process holds one configuration and never goes back to a lower generation.
-Whatever it hears from carries a generation; when that is higher, it fetches
-the root and the chunks that differ from there. Three ways bring the
-news:
+Every message from a peer carries a generation; if that is higher, the process
+fetches the root and the chunks that differ from that peer. A process learns
+of a new generation in three ways:
 
-* contact: requests, answers and notices carry the generation;
-* notices: whoever puts a generation in force tells a few peers, at most
-  ``notice_fanout`` each ``notice_seconds``;
-* exchange: every ``exchange_seconds`` each tells its generation to one random
-  peer, which answers with its own; this reaches processes that have no
-  traffic and makes up for lost notices.
+* contact: requests, responses and notices carry the generation;
+* notices: a process that puts a generation in force notifies a few peers, at
+  most ``notice_fanout`` every ``notice_seconds``;
+* exchange: every ``exchange_seconds`` each process sends its generation to one
+  random peer, which replies with its own; this reaches processes that have no
+  traffic and compensates for lost notices.
 
-A few processes of each data centre watch the store. Who does is a matter of
-speed alone: two watchers fetch the same root, none for a while only delays.
+A few processes of each data centre watch the store. The choice of watchers
+only affects speed: two watchers fetch the same root, and a time without a
+watcher only delays a change.
 
-A process that starts with nothing asks the store and several peers, and is
-ready once it holds the highest of their generations. Either kind suffices.
+A process that starts without a configuration queries the store and several
+peers, and is ready once it holds the highest of their generations. The store
+alone or the peers alone suffice.
 
 Examples:
     >>> import random
@@ -55,15 +57,16 @@
 
 
 class Holder:
-    """The configuration of one process and how it follows the others.
+    """The configuration of one process, kept up to date from its peers.
 
     Attributes:
-        configuration: The configuration in force, ``model.EMPTY`` at first.
-        root: Its root, ``None`` at first.
+        configuration: The configuration in force, initially ``model.EMPTY``.
+        root: The root in force, initially ``None``.
         is_store_behind: Whether the store was last seen at a lower
-            generation, as after a restore of an old backup.
-        split_count: Roots seen that have this generation and another tree,
-            which a store that keeps its promises rules out.
+            generation, as after a restore from an old backup.
+        split_count: Number of roots seen with the same generation but another
+            tree, which cannot occur if the store's conditional updates are
+            correct.
     """
 
     def __init__(
@@ -100,15 +103,15 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether a configuration is in force and the start is over."""
+        """Whether a configuration is in force and startup is complete."""
         return self.generation > 0 and not self._start.is_under_way
 
     def set_peers(self, peers: Sequence[str], near: Sequence[str]) -> None:
-        """Take the addresses of live peers, and of those close by."""
+        """Set the addresses of the live peers and of the nearby ones."""
         self._rounds.set_peers(peers, near)
 
     def start(self, now: float) -> list[actions.Action]:
-        """Ask the store and several peers for their generations."""
+        """Query the store and several peers for their roots."""
         sources = [STORE, *self._rounds.start(now)]
         self._start.begin(sources, now)
         return [actions.FetchRoot(source=one, have="") for one in sources]
@@ -116,7 +119,7 @@
     def hear(
         self, peer: str, generation: int, now: float
     ) -> list[actions.Action]:
-        """Learn from a contact which generation a peer has."""
+        """Record the generation that a peer reported in a contact."""
         self._rounds.note_contact(now)
         if generation <= self.generation:
             return []
@@ -129,7 +132,7 @@
         answer: wire.RootAnswer | failure_value.Failure,
         now: float,
     ) -> list[actions.Action]:
-        """Take a source's root, asked for or not."""
+        """Process the root of a source, requested or not."""
         if self._asked is not None and self._asked[0] == source:
             self._asked = None
         if failure_value.is_failure(answer):
@@ -154,7 +157,7 @@
         chunk_by_hash: Mapping[str, bytes] | failure_value.Failure,
         now: float,
     ) -> list[actions.Action]:
-        """Take chunks that a source has sent."""
+        """Process chunks received from a source."""
         if self._fetch is None:
             return []
         if failure_value.is_failure(chunk_by_hash):
@@ -167,7 +170,7 @@
         return self._go_on(now)
 
     def tick(self, now: float) -> list[actions.Action]:
-        """Let time pass; call this about once a second or more often."""
+        """Process timeouts and due rounds; call this at least once a second."""
         due: list[actions.Action] = []
         for source in self._start.overdue(now):
             due += self._source_failed(source, now)
@@ -180,13 +183,13 @@
         return due
 
     def answer_root(self, have: str) -> wire.RootAnswer:
-        """Return the answer to a peer that has the tree ``have``."""
+        """Return the response to a peer that has the tree ``have``."""
         return wire.RootAnswer(
             root=self.root, chunk_by_hash=self._holdings.bundle(have)
         )
 
     def answer_chunks(self, hashes: Sequence[str]) -> dict[str, bytes]:
-        """Return those of the chunks that are held."""
+        """Return the requested chunks that are held."""
         return self._holdings.give(hashes[: self._limits.batch])
 
     def _compare(self, source: str, root: root_object.Root | None) -> None:
@@ -205,15 +208,15 @@
         has_claimed = self._claims.claim(source)
         self._claims.set(source, generation)
         if generation <= self.generation < has_claimed:
-            # It claims what it does not have: each contact would fetch its
-            # root again.
+            # The source reports a generation that it does not have. Without
+            # a suspension each contact would fetch its root again.
             self._claims.suspend(source, now + self._limits.suspend_seconds)
 
     def _is_busy(self) -> bool:
         return self._fetch is not None or self._asked is not None
 
     def _ask_best(self, now: float) -> list[actions.Action]:
-        """Ask the source with the highest generation, if it is news."""
+        """Query the source with the highest generation, if it is ahead."""
         is_held_back = self._start.is_collecting or now < self._quiet_until
         if self._is_busy() or is_held_back:
             return []
@@ -230,7 +233,7 @@
         return self._ask_best(now)
 
     def _end_start(self) -> None:
-        """Be ready unless a source that answers is known to be ahead."""
+        """Complete startup unless a source that has not failed is ahead."""
         is_behind = self._claims.is_ahead(self.generation)
         is_waiting = self._start.is_collecting or is_behind
         if self.generation > 0 and not is_waiting:
@@ -289,7 +292,7 @@
         chunk_by_hash: Mapping[str, bytes],
         now: float,
     ) -> list[actions.Action]:
-        """Use what came with the root that is being fetched already."""
+        """Add chunks that came with the root being fetched already."""
         fetch = self._fetch
         assert fetch is not None
         if root.digest == fetch.root.digest:
@@ -315,8 +318,8 @@
     ) -> list[actions.Action]:
         self._fetch = None
         self._staged = {}
-        # A root that came while a higher one was put in force would lower
-        # the generation: callers would see a removed key work again.
+        # A higher root may have been put in force in the meantime. Lowering
+        # the generation would make a removed API key valid again.
         if fetch.root.generation <= self.generation:
             return self._ask_best(now)
         patched = self._patch(fetch)
@@ -357,7 +360,7 @@
         )
 
     def describe(self) -> dict[str, typing.Any]:
-        """Return the state for a dump."""
+        """Return the state for a diagnostic dump."""
         return {
             "generation": self.generation,
             "change_id": self.root.change_id if self.root else "",
--- a/packages/daisypick_core/src/daisypick_core/configuration/spread_actions.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/spread_actions.py
@@ -1,8 +1,8 @@
-"""What the spread of configurations asks its driver to do.
+"""Actions of the configuration distribution that its driver carries out.
 
-The driver reports back: ``FetchRoot`` by ``take_root``, ``FetchChunks`` and
-``FetchPack`` by ``take_chunks``, ``Notify`` by ``hear`` with the generation
-in the answer. A report that never comes is made up for by a timeout.
+The driver reports the results: of ``FetchRoot`` by ``take_root``, of
+``FetchChunks`` and ``FetchPack`` by ``take_chunks``, of ``Notify`` by ``hear``
+with the generation in the response. A timeout covers a missing report.
 """
 
 from collections.abc import Mapping
@@ -16,13 +16,13 @@
 
 
 class FetchRoot(typing.NamedTuple):
-    """Ask a source for its root.
+    """Request the root of a source.
 
     Attributes:
-        source: Address of a peer, ``STORE``, or ``OPERATOR`` for one that
-            cannot be asked again.
-        have: Top chunk held, so that a peer adds the chunks that differ;
-            ``""`` to get the root alone.
+        source: Address of a peer, ``STORE``, or ``OPERATOR`` for a one-time
+            sender that accepts no requests.
+        have: Hash of the top chunk held, so that a peer adds the chunks that
+            differ; ``""`` to get the root alone.
     """
 
     source: str
@@ -30,20 +30,20 @@
 
 
 class FetchChunks(typing.NamedTuple):
-    """Ask a peer for chunks by hash."""
+    """Request chunks from a peer by hash."""
 
     source: str
     hashes: tuple[str, ...]
 
 
 class FetchPack(typing.NamedTuple):
-    """Read an object with chunks from the store."""
+    """Read an object that holds chunks from the store."""
 
     name: str
 
 
 class Notify(typing.NamedTuple):
-    """Tell a peer which generation is in force here."""
+    """Notify a peer of the generation in force here."""
 
     peer: str
     generation: int
@@ -54,8 +54,8 @@
 
     Attributes:
         configuration: The configuration.
-        changed_by_section: Names of entries made, changed or removed since
-            the one before.
+        changed_by_section: Names of entries added, changed or removed since
+            the previous configuration.
     """
 
     configuration: model.Configuration
@@ -63,7 +63,7 @@
 
 
 class Reject(typing.NamedTuple):
-    """Log that a source's configuration cannot be used."""
+    """Log that the configuration of a source is invalid."""
 
     source: str
     failure: failure_value.Failure
--- a/packages/daisypick_core/src/daisypick_core/configuration/starting.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/starting.py
@@ -1,8 +1,8 @@
-"""The start of a process that has nothing yet.
+"""The startup of a process that has no configuration yet.
 
-It asks the store and several peers, and waits for all of them to answer,
-fail or run out of time before it chooses: the first answer may be from one
-that is behind.
+The process queries the store and several peers and waits until all of them
+have responded, failed or timed out before it selects a source: the first
+response may come from a source that is behind.
 
 Examples:
     >>> start = Start(rng=random.Random(1), limits=rounds.DEFAULT_LIMITS)
@@ -22,10 +22,10 @@
 
 
 class Start:
-    """Who was asked at the start and has not answered.
+    """The sources queried at startup that have not responded.
 
     Attributes:
-        is_under_way: Whether the process is not ready yet.
+        is_under_way: Whether startup is still in progress.
     """
 
     def __init__(
@@ -40,21 +40,21 @@
 
     @property
     def is_collecting(self) -> bool:
-        """Whether some answer is still waited for."""
+        """Whether a response is still pending."""
         return bool(self._asked)
 
     def begin(self, sources: Iterable[str], now: float) -> None:
-        """Note a round of questions."""
+        """Record a round of queries."""
         self.is_under_way = True
         self._asked = set(sources)
         self._until = now + self._limits.fetch_timeout
 
     def is_asked(self, source: str) -> bool:
-        """Tell whether a source's answer is waited for."""
+        """Return whether the response of a source is pending."""
         return source in self._asked
 
     def settle(self, source: str, now: float) -> bool:
-        """Note an answer or a failure; return whether it was the last."""
+        """Record a response or a failure; return whether it was the last."""
         self._asked.discard(source)
         if self._asked:
             return False
@@ -63,10 +63,10 @@
         return True
 
     def overdue(self, now: float) -> list[str]:
-        """Return the sources that have run out of time."""
+        """Return the sources that have timed out."""
         return sorted(self._asked) if now >= self._until else []
 
     def may_ask_again(self, now: float) -> bool:
-        """Tell whether another round is due."""
+        """Return whether another round of queries is due."""
         is_due = now >= self._next_round
         return self.is_under_way and not self._asked and is_due
--- a/packages/daisypick_core/src/daisypick_core/configuration/values.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/values.py
@@ -1,7 +1,7 @@
-"""The checks of single values, registered by section and key.
+"""Checks of single values, registered by section and key.
 
-A check gets a value of the right type and returns what is wrong with it, or
-``None``. A new check is a new function under ``@register``.
+A check receives a value of the right type and returns the reason why it is
+invalid, or ``None``. To add a check, decorate a function with ``@register``.
 
 Examples:
     >>> find_fault("organisations", "share", 0.0)
@@ -50,10 +50,10 @@
 
 
 def convert(value: typing.Any, value_type: typing.Any) -> typing.Any:
-    """Return a value from a file as the type of its field.
+    """Convert a value from a file to the type of its field.
 
     Raises:
-        msgspec.ValidationError: The value has another type.
+        msgspec.ValidationError: The value has the wrong type.
     """
     if value_type == tuple[model.Call, ...]:
         tables = msgspec.convert(value, list[_CallTable])
@@ -70,7 +70,7 @@
 
 
 def find_fault(section: str, key: str, value: typing.Any) -> str | None:
-    """Return what is wrong with a value of the right type."""
+    """Return why a value of the right type is invalid, or ``None``."""
     check = checks_by_key.get((section, key))
     return check(value) if check else None
 
@@ -87,7 +87,10 @@
 
 @register("organisations.key_hashes")
 def check_key_hashes(value: tuple[str, ...]) -> str | None:
-    """Check SHA-256 sums; the message never repeats a would-be key."""
+    """Check SHA-256 hashes.
+
+    The message does not repeat the value, which may be a plaintext key.
+    """
     for position, key_hash in enumerate(value):
         if not _SHA256_HEX.fullmatch(key_hash):
             return f"item {position} is no SHA-256 in 64 lower-case hex digits"
@@ -101,7 +104,7 @@
     "backend_servers.cold_slots",
 )
 def check_count(value: int) -> str | None:
-    """Check a limit that is at least one."""
+    """Check a limit, which must be at least one."""
     if not 1 <= value <= MAX_COUNT:
         return f"is {value}, must be in 1..{MAX_COUNT}"
     return None
@@ -128,7 +131,7 @@
 
 @register("backend_servers.address", "backend_servers.agent")
 def check_address(value: str) -> str | None:
-    """Check ``IP:port``; names of hosts are not looked up."""
+    """Check ``IP:port``; host names are not resolved."""
     host, _, port = value.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
--- a/packages/daisypick_core/src/daisypick_core/configuration/wire.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/wire.py
@@ -1,7 +1,7 @@
 """Roots and chunks as JSON, between processes and in the store.
 
-Chunks are JSON already and go in as they are, byte for byte, so that their
-hashes still fit at the other end.
+Chunks are JSON already and are embedded byte for byte, so that the receiver
+can verify their hashes.
 
 Examples:
     >>> chunk = b'{"data_centres/sofia":{}}'
@@ -24,11 +24,11 @@
 
 
 class RootAnswer(typing.NamedTuple):
-    """A root and the chunks that its holder expects to be missing.
+    """A root and the chunks that the receiver is expected to lack.
 
     Attributes:
-        root: The root in force, ``None`` at a process without any.
-        chunk_by_hash: Chunks, each checked against its hash.
+        root: The root in force, ``None`` if the sender has none.
+        chunk_by_hash: Chunks, each verified against its hash.
     """
 
     root: root_object.Root | None
@@ -45,7 +45,7 @@
 
 
 def encode_answer(answer: RootAnswer) -> bytes:
-    """Return the JSON form of an answer, without the store's names."""
+    """Return the JSON form of a response, without store object names."""
     document = None
     if answer.root is not None:
         bare = answer.root._replace(packs=(), recent=())
@@ -56,10 +56,10 @@
 
 
 def decode_answer(data: bytes) -> RootAnswer | failure_value.Failure:
-    """Return a checked answer; damaged chunks are left out.
+    """Return a verified response; corrupt chunks are dropped.
 
-    Failures: ``BAD_MESSAGE`` if it is no answer, ``BAD_CHUNK`` if its root
-    is damaged.
+    Failures: ``BAD_MESSAGE`` if the data cannot be decoded, ``BAD_CHUNK`` if
+    its root is corrupt.
     """
     try:
         document = _answer_decoder.decode(data)
@@ -79,7 +79,7 @@
 
 
 def decode_chunks(data: bytes) -> dict[str, bytes] | failure_value.Failure:
-    """Return checked chunks by hash; damaged ones are left out."""
+    """Return verified chunks by hash; corrupt chunks are dropped."""
     try:
         return _from_raw(_chunks_decoder.decode(data))
     except msgspec.MsgspecError as error:
@@ -87,7 +87,7 @@
 
 
 def keep_sound(chunk_by_hash: Mapping[str, bytes]) -> dict[str, bytes]:
-    """Return the chunks whose hashes fit."""
+    """Return the chunks that match their hashes."""
     return {
         chunk_hash: chunk
         for chunk_hash, chunk in chunk_by_hash.items()
--- a/packages/daisypick_core/tests/configuration/test_spread.py
+++ b/packages/daisypick_core/tests/configuration/test_spread.py
@@ -31,7 +31,7 @@
 
 
 class Source:
-    """A store, or a peer, that holds some generation."""
+    """A store or peer with a given generation."""
 
     def __init__(self, generation):
         self.configuration = make_configuration(generation)
@@ -60,7 +60,7 @@
 
 
 def run(holder, due, source_by_name, now=0.0, seen=None):
-    """Carry actions out until none is left; return all of them."""
+    """Carry out actions until none is left; return all of them."""
     seen = [] if seen is None else seen
     pending = list(due)
     while pending:
@@ -91,9 +91,9 @@
 
 
 def test_restart_takes_the_highest_before_it_is_ready():
-    # A node restarts with nothing. The store it reads from lags behind, one
-    # peer is stale, one is down and one has the newest. Had it become ready
-    # with the first answer, callers would see an older configuration.
+    # A node restarts without state. The store and one peer are behind, one
+    # peer is down and one has the newest generation. If the node became ready
+    # on the first response, callers would see an older configuration.
     holder = make_holder()
     asked = holder.start(0.0)
     assert {action.source for action in asked} == {actions.STORE, *PEERS}
@@ -119,8 +119,8 @@
 
 
 def test_restart_while_peers_are_down_takes_the_stores():
-    # The store's objects are read newest first; a leaf may lie in an older
-    # one than the node that names it.
+    # The objects in the store are read newest first; a leaf may be in an
+    # older object than the node that references it.
     holder = make_holder()
     seen = run(holder, holder.start(0.0), {actions.STORE: Source(4)})
     packs = [a.name for a in seen if isinstance(a, actions.FetchPack)]
@@ -142,8 +142,8 @@
 
 
 def test_restart_does_not_wait_for_silent_sources():
-    # Nobody answers p1's and p2's call, neither with a failure. After the
-    # timeout what was heard by then is taken.
+    # The requests to p1 and p2 get neither a response nor a failure. After
+    # the timeout the best response received until then is used.
     holder = make_holder()
     holder.start(0.0)
     source = Source(2)
@@ -155,8 +155,8 @@
 
 
 def test_lower_generation_never_comes_in_force():
-    # A node that was cut off rejoins with an old generation; its contacts,
-    # its root and its late chunks reach a node that is ahead.
+    # A partitioned node rejoins with an old generation; its contacts, its root
+    # and its late chunks reach a node that is ahead.
     holder = bring_up(5)
     stale = Source(3)
     before = holder.configuration
@@ -189,9 +189,9 @@
 
 
 def test_bad_and_partial_chunks_do_no_harm():
-    # p1 is ahead but answers with damaged chunks, p2 with half of them and
-    # then nothing. The node keeps what was sound, stays on its generation
-    # meanwhile and ends with p3.
+    # p1 is ahead but responds with corrupt chunks, p2 with half of them and
+    # then none. The node keeps the valid chunks, stays on its generation and
+    # completes the fetch from p3.
     holder = bring_up(1, batch=8)
     new = Source(6)
     answer = wire.RootAnswer(root=new.root, chunk_by_hash={})
@@ -236,9 +236,9 @@
 
 
 def test_incomplete_offer_is_not_asked_for_more():
-    # An operator's command line offers a change to a node that is several
-    # generations behind, with the latest chunks only, and is gone. Nobody can
-    # be asked at that address; the node goes on with the next peer it hears.
+    # An operator's command line pushes a change, with the latest chunks only,
+    # to a node that is several generations behind, and exits. It accepts no
+    # requests; the node continues with the next peer that contacts it.
     holder = bring_up(1)
     new = Source(6)
     answer = wire.RootAnswer(root=new.root, chunk_by_hash={})
@@ -253,8 +253,8 @@
 
 
 def test_offer_completes_a_fetch_that_is_under_way():
-    # A watcher has begun to read a change from the store, which is slow, when
-    # the operator's command line offers the same change with its chunks.
+    # A watcher is reading a change from a slow store when the operator's
+    # command line pushes the same change with its chunks.
     holder = bring_up(1)
     new = Source(6)
     answer = wire.RootAnswer(root=new.root, chunk_by_hash={})
@@ -268,8 +268,8 @@
 
 
 def test_change_that_is_taken_back_moves_no_chunk():
-    # A data centre goes out and comes back: the tree is the former one again,
-    # whose chunks the node has kept.
+    # A data centre is taken out of service and put back: the tree equals the
+    # former one, whose chunks the node has kept.
     holder = bring_up(1)
     run(holder, holder.hear("p1", 2, 1.0), {"p1": Source(2)}, now=1.0)
     back = root_object.make_root(
@@ -334,7 +334,7 @@
 
 
 def put_in(holder, event, name, source, now):
-    """Return what a holder does about an event that nobody asked for."""
+    """Deliver an unsolicited event; return the resulting actions."""
     if event == "hear":
         return holder.hear(name, source.root.generation, now)
     if event == "chunks":
@@ -351,8 +351,8 @@
 @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
 @hypothesis.given(EVENTS, strategies.integers(0, 6))
 def test_generation_never_falls_whatever_comes_in_what_order(events, start):
-    # Answers come late, doubled, crossed or from stale sources, at a node
-    # that begins with nothing or with any generation.
+    # Responses arrive late, duplicated, out of order or from stale sources at
+    # a node that starts empty or with any generation.
     holder = bring_up(start) if start else make_holder()
     if not start:
         holder.start(0.0)
