--- a/packages/daisypick_core/src/daisypick_core/configuration/__init__.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/__init__.py
@@ -5,7 +5,8 @@
 * ``model``: organisations, services, backend servers and data centres.
 * ``sections``: the sections and keys of a file, derived from the model.
 * ``merge``: merges files in name order and records the file of each value.
-* ``check``: the whole validation; ``values`` and ``relations`` hold the rules.
+* ``check``: the whole validation; the rules are in ``values`` and
+  ``cross_checks``.
 * ``faults``: the faults that validation finds.
 
 Representation in transit and in the store:
@@ -19,9 +20,10 @@
 Distribution to all processes:
 
 * ``spread``: the state machine of one process, driven by contacts and ticks.
-* ``starting``: the sources queried at startup.
+* ``startup``: the sources queried at startup.
 * ``rounds``: the schedule of notices to peers and queries to the store.
 * ``spread_actions``: the actions that the driver carries out.
-* ``holdings``, ``fetch``, ``claimed``: the chunks held, the fetch in progress,
-  and the generation that each source reports.
+* ``local_chunks``: the chunks that the process holds.
+* ``fetch``: the fetch in progress.
+* ``source_generations``: the generation that each source reports.
 """
--- a/packages/daisypick_core/src/daisypick_core/configuration/check.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/check.py
@@ -18,10 +18,10 @@
 
 import msgspec
 
+from daisypick_core.configuration import cross_checks
 from daisypick_core.configuration import faults
 from daisypick_core.configuration import merge
 from daisypick_core.configuration import model
-from daisypick_core.configuration import relations
 from daisypick_core.configuration import sections
 from daisypick_core.configuration import values
 from daisypick_core.results import codes
@@ -61,8 +61,10 @@
             if not entry_faults:
                 made[name] = _make_entry(section, name, entry)
     configuration = sections.make_configuration(0, entries_by_section)
-    for broken in relations.find_broken(configuration, merged):
-        found.append(broken._replace(file=_file_at_fault(broken, file_by_key)))
+    for cross_fault in cross_checks.find_faults(configuration, merged):
+        found.append(
+            cross_fault._replace(file=_file_at_fault(cross_fault, file_by_key))
+        )
     found.sort(key=lambda fault: (fault.file, fault.key))
     return Checked(
         configuration=None if found else configuration,
--- a/packages/daisypick_core/src/daisypick_core/configuration/chunks.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/chunks.py
@@ -74,12 +74,13 @@
 ) -> Tree:
     """Return the chunks of a configuration."""
     bits = fanout.bit_length() - 1
-    placed = sorted(
-        (_place(path), path, entry) for path, entry in _entries(configuration)
+    positioned = sorted(
+        (_position(path), path, entry)
+        for path, entry in _entries(configuration)
     )
     chunk_by_hash: dict[str, bytes] = {}
     builder = _Builder(chunk_by_hash, bits, leaf_limit)
-    return Tree(top=builder.build(placed, 0), chunk_by_hash=chunk_by_hash)
+    return Tree(top=builder.build(positioned, 0), chunk_by_hash=chunk_by_hash)
 
 
 def children(chunk: bytes) -> tuple[str, ...]:
@@ -212,12 +213,12 @@
     }
 
 
-def _place(path: str) -> int:
+def _position(path: str) -> int:
     digest = hashlib.blake2b(path.encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
 
-_Placed = list[tuple[int, str, Fields]]
+_PositionedEntries = list[tuple[int, str, Fields]]
 
 
 class _Builder:
@@ -230,13 +231,13 @@
         self._bits = bits
         self._leaf_limit = leaf_limit
 
-    def build(self, placed: _Placed, depth: int) -> str:
+    def build(self, positioned: _PositionedEntries, depth: int) -> str:
         """Store the chunks of a subtree; return the hash of its top chunk."""
-        if len(placed) <= self._leaf_limit or depth == _MAX_DEPTH:
-            return self._store({path: entry for _, path, entry in placed})
+        if len(positioned) <= self._leaf_limit or depth == _MAX_DEPTH:
+            return self._store({path: entry for _, path, entry in positioned})
         shift = 64 - self._bits * (depth + 1)
-        buckets: list[_Placed] = [[] for _ in range(1 << self._bits)]
-        for item in placed:
+        buckets: list[_PositionedEntries] = [[] for _ in range(1 << self._bits)]
+        for item in positioned:
             buckets[(item[0] >> shift) % len(buckets)].append(item)
         return self._store(
             [
--- a/packages/daisypick_core/src/daisypick_core/configuration/relations.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/cross_checks.py
@@ -15,25 +15,27 @@
 from daisypick_core.configuration import sections
 from daisypick_core.results import codes
 
-Relation = Callable[[model.Configuration, merge.Merged], Iterable[faults.Fault]]
+CrossCheck = Callable[
+    [model.Configuration, merge.Merged], Iterable[faults.Fault]
+]
 
-_relations: list[Relation] = []
+_cross_checks: list[CrossCheck] = []
 
 _NAMES_BY_KEY = {"service": "services", "data_centre": "data_centres"}
 
 
-def register(relation: Relation) -> Relation:
+def register(cross_check: CrossCheck) -> CrossCheck:
     """Register a check of relations between entries."""
-    _relations.append(relation)
-    return relation
+    _cross_checks.append(cross_check)
+    return cross_check
 
 
-def find_broken(
+def find_faults(
     configuration: model.Configuration, merged: merge.Merged
 ) -> Iterator[faults.Fault]:
     """Yield the faults in relations between entries."""
-    for relation in _relations:
-        yield from relation(configuration, merged)
+    for cross_check in _cross_checks:
+        yield from cross_check(configuration, merged)
 
 
 def _fault(key: str, code: codes.Code, reason: str) -> faults.Fault:
@@ -108,7 +110,7 @@
 
 
 @register
-def _kind_of_service(
+def _model_settings(
     configuration: model.Configuration, merged: merge.Merged
 ) -> Iterator[faults.Fault]:
     del merged
--- a/packages/daisypick_core/src/daisypick_core/configuration/difference.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/difference.py
@@ -128,7 +128,7 @@
         >>> find_overwritten(place(True), place(False), place(False))
         []
     """
-    undone = {
+    reverted = {
         (change.section, change.name)
         if change.kind != CHANGED
         else (change.section, change.name, change.key)
@@ -137,6 +137,6 @@
     return [
         change
         for change in find_changes(base, current)
-        if (change.section, change.name) in undone
-        or (change.section, change.name, change.key) in undone
+        if (change.section, change.name) in reverted
+        or (change.section, change.name, change.key) in reverted
     ]
--- a/packages/daisypick_core/src/daisypick_core/configuration/fetch.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/fetch.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from daisypick_core.configuration import chunks
-from daisypick_core.configuration import holdings as chunk_holdings
+from daisypick_core.configuration import local_chunks
 from daisypick_core.configuration import root as root_object
 from daisypick_core.configuration import wire
 
@@ -32,22 +32,22 @@
         root: root_object.Root,
         source: str,
         since: float,
-        holdings: chunk_holdings.Holdings,
+        held: local_chunks.LocalChunks,
         staged: Mapping[str, bytes],
     ) -> None:
         self.root = root
         self.source = source
         self.since = since
         self.staged: dict[str, bytes] = {}
-        self.packs_left = list(root.packs)
-        self._holdings = holdings
-        self._spare: dict[str, bytes] = dict(staged)
+        self.remaining_packs = list(root.packs)
+        self._local_chunks = held
+        self._unused: dict[str, bytes] = dict(staged)
         self._wanted: set[str] = set()
         self._want(root.top)
-        self._settle_wanted()
+        self._accept_wanted()
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether all chunks of the tree are present."""
         return not self._wanted
 
@@ -55,7 +55,7 @@
         """Return up to ``limit`` hashes of missing chunks."""
         return tuple(sorted(self._wanted)[:limit])
 
-    def offer(self, chunk_by_hash: Mapping[str, bytes]) -> bool:
+    def add_chunks(self, chunk_by_hash: Mapping[str, bytes]) -> bool:
         """Accept the missing chunks; return whether there were any.
 
         Chunks that may be referenced later are kept until the fetch ends: in
@@ -63,18 +63,18 @@
         references it.
         """
         before = len(self.staged)
-        self._spare |= wire.keep_sound(chunk_by_hash)
-        self._settle_wanted()
+        self._unused |= wire.keep_valid(chunk_by_hash)
+        self._accept_wanted()
         return len(self.staged) > before
 
-    def _settle_wanted(self) -> None:
-        ready = self._wanted & self._spare.keys()
+    def _accept_wanted(self) -> None:
+        ready = self._wanted & self._unused.keys()
         while ready:
             for chunk_hash in ready:
-                self._take(chunk_hash, self._spare.pop(chunk_hash))
-            ready = self._wanted & self._spare.keys()
+                self._accept(chunk_hash, self._unused.pop(chunk_hash))
+            ready = self._wanted & self._unused.keys()
 
-    def _take(self, chunk_hash: str, chunk: bytes) -> None:
+    def _accept(self, chunk_hash: str, chunk: bytes) -> None:
         self._wanted.discard(chunk_hash)
         self.staged[chunk_hash] = chunk
         try:
@@ -86,9 +86,9 @@
             self._want(child)
 
     def _want(self, chunk_hash: str) -> None:
-        is_held = self._holdings.is_live(chunk_hash)
+        is_held = self._local_chunks.is_live(chunk_hash)
         if is_held or chunk_hash in self.staged:
             return
         self._wanted.add(chunk_hash)
         # A chunk of a former tree may be held without the chunks below it.
-        self._spare |= self._holdings.give([chunk_hash])
+        self._unused |= self._local_chunks.find([chunk_hash])
--- a/packages/daisypick_core/src/daisypick_core/configuration/holdings.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/local_chunks.py
@@ -5,10 +5,10 @@
 chunks that differ in one response.
 
 Examples:
-    >>> holdings = Holdings()
-    >>> list(holdings.give(["unknown"])), holdings.top == EMPTY_TREE.top
+    >>> local = LocalChunks()
+    >>> list(local.find(["unknown"])), local.top == EMPTY_TREE.top
     ([], True)
-    >>> len(holdings.bundle(holdings.top))
+    >>> len(local.bundle(local.top))
     0
 """
 
@@ -26,14 +26,14 @@
 BUNDLE_BYTES = 256_000
 
 
-class _Past(typing.NamedTuple):
+class _FormerTree(typing.NamedTuple):
     """A former tree and its chunks that the next tree did not use."""
 
     top: str
     dropped: frozenset[str]
 
 
-class Holdings:
+class LocalChunks:
     """The chunks of the tree in force and of recent trees.
 
     Attributes:
@@ -45,13 +45,13 @@
         self.top = EMPTY_TREE.top
         self.chunk_by_hash: dict[str, bytes] = dict(EMPTY_TREE.chunk_by_hash)
         self._live = set(self.chunk_by_hash)
-        self._past: collections.deque[_Past] = collections.deque()
+        self._former_trees: collections.deque[_FormerTree] = collections.deque()
 
     def is_live(self, chunk_hash: str) -> bool:
         """Return whether a chunk belongs to the tree in force."""
         return chunk_hash in self._live
 
-    def move_to(self, top: str, staged: Mapping[str, bytes]) -> None:
+    def switch_to(self, top: str, staged: Mapping[str, bytes]) -> None:
         """Put another tree in force.
 
         Args:
@@ -59,20 +59,24 @@
             staged: At least those of its chunks that are not held.
         """
         self.chunk_by_hash.update(staged)
-        come = chunks.changed_chunks(self.top, top, self.chunk_by_hash)
-        gone = chunks.changed_chunks(top, self.top, self.chunk_by_hash)
-        self._live = (self._live - gone) | come
-        self._past.append(_Past(top=self.top, dropped=frozenset(gone)))
+        added = chunks.changed_chunks(self.top, top, self.chunk_by_hash)
+        removed = chunks.changed_chunks(top, self.top, self.chunk_by_hash)
+        self._live = (self._live - removed) | added
+        self._former_trees.append(
+            _FormerTree(top=self.top, dropped=frozenset(removed))
+        )
         self.top = top
-        if len(self._past) > HISTORY_LIMIT:
-            self._forget(self._past.popleft())
-
-    def _forget(self, past: _Past) -> None:
-        kept = self._live.union(*(other.dropped for other in self._past))
-        for chunk_hash in past.dropped - kept:
+        if len(self._former_trees) > HISTORY_LIMIT:
+            self._evict(self._former_trees.popleft())
+
+    def _evict(self, former: _FormerTree) -> None:
+        kept = self._live.union(
+            *(other.dropped for other in self._former_trees)
+        )
+        for chunk_hash in former.dropped - kept:
             self.chunk_by_hash.pop(chunk_hash, None)
 
-    def give(self, hashes: Iterable[str]) -> dict[str, bytes]:
+    def find(self, hashes: Iterable[str]) -> dict[str, bytes]:
         """Return the requested chunks that are held."""
         return {
             chunk_hash: self.chunk_by_hash[chunk_hash]
@@ -89,9 +93,9 @@
         """
         if have in ("", self.top):
             return {}
-        if any(past.top == have for past in self._past):
+        if any(former.top == have for former in self._former_trees):
             changed = chunks.changed_chunks(have, self.top, self.chunk_by_hash)
-            given = self.give(changed)
-            if sum(map(len, given.values())) <= BUNDLE_BYTES:
-                return given
-        return self.give([self.top])
+            found = self.find(changed)
+            if sum(map(len, found.values())) <= BUNDLE_BYTES:
+                return found
+        return self.find([self.top])
--- a/packages/daisypick_core/src/daisypick_core/configuration/merge.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/merge.py
@@ -86,7 +86,7 @@
                 faults.Fault(file.name, section, codes.UNKNOWN_SETTING, reason)
             )
         elif not isinstance(entries, dict):
-            found.append(_no_table(file.name, section))
+            found.append(_not_a_table(file.name, section))
         else:
             yield from _entry_tables(file.name, section, entries, found)
 
@@ -101,10 +101,10 @@
         if isinstance(table, dict):
             yield section, name, table
         else:
-            found.append(_no_table(file, f"{section}.{name}"))
+            found.append(_not_a_table(file, f"{section}.{name}"))
 
 
-def _no_table(file: str, key: str) -> faults.Fault:
+def _not_a_table(file: str, key: str) -> faults.Fault:
     return faults.Fault(file, key, codes.BAD_VALUE, "must be a table")
 
 
--- a/packages/daisypick_core/src/daisypick_core/configuration/patch.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/patch.py
@@ -58,15 +58,15 @@
         generation: Generation of the new configuration.
     """
     try:
-        gone = _entries_of(
+        old_entries = _entries_of(
             chunks.changed_chunks(new_top, old_top, chunk_by_hash),
             chunk_by_hash,
         )
-        come = _entries_of(
+        new_entries = _entries_of(
             chunks.changed_chunks(old_top, new_top, chunk_by_hash),
             chunk_by_hash,
         )
-        return _apply(configuration, gone, come, generation)
+        return _apply(configuration, old_entries, new_entries, generation)
     except (msgspec.MsgspecError, KeyError, TypeError) as error:
         return failure_value.Failure(
             code=codes.BAD_CHUNK, reason=f"tree {new_top}: {error}"
@@ -87,19 +87,19 @@
 
 def _apply(
     configuration: model.Configuration,
-    gone: _Entries,
-    come: _Entries,
+    old_entries: _Entries,
+    new_entries: _Entries,
     generation: int,
 ) -> Patched:
     changed: dict[str, set[str]] = {}
-    for path in gone.keys() | come.keys():
+    for path in old_entries.keys() | new_entries.keys():
         section_name, _, name = path.partition("/")
         is_known = section_name in sections.by_name
-        if is_known and gone.get(path) != come.get(path):
+        if is_known and old_entries.get(path) != new_entries.get(path):
             changed.setdefault(section_name, set()).add(name)
     entries_by_field = {
         f"{section_name}_by_name": _patch_section(
-            configuration, sections.by_name[section_name], names, come
+            configuration, sections.by_name[section_name], names, new_entries
         )
         for section_name, names in changed.items()
     }
@@ -117,11 +117,11 @@
     configuration: model.Configuration,
     section: sections.Section,
     names: set[str],
-    come: _Entries,
+    new_entries: _Entries,
 ) -> dict[str, typing.Any]:
     entries = dict(sections.entries_by_name(configuration, section.name))
     for name in names:
-        fields = come.get(f"{section.name}/{name}")
+        fields = new_entries.get(f"{section.name}/{name}")
         if fields is None:
             del entries[name]
         else:
--- a/packages/daisypick_core/src/daisypick_core/configuration/root.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/root.py
@@ -86,10 +86,10 @@
 def from_document(document: RootDocument) -> Root | failure_value.Failure:
     """Return the root of a document, or ``BAD_CHUNK``."""
     root = Root(**document)
-    is_sound = root.generation > 0 and root.digest == _digest(
+    is_valid = root.generation > 0 and root.digest == _digest(
         root.generation, root.change_id, root.top
     )
-    if not is_sound:
+    if not is_valid:
         return failure_value.Failure(
             code=codes.BAD_CHUNK,
             reason="root: digest does not fit its content",
--- a/packages/daisypick_core/src/daisypick_core/configuration/rounds.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/rounds.py
@@ -65,7 +65,7 @@
         self._next_notice = 0.0
         self._next_exchange = 0.0
         self._next_store = 0.0
-        self._heard_at = 0.0
+        self._contact_at = 0.0
 
     @property
     def peer_count(self) -> int:
@@ -79,7 +79,7 @@
 
     def start(self, now: float) -> list[str]:
         """Return the peers to query at startup."""
-        self._heard_at = now
+        self._contact_at = now
         self._next_store = now + self._limits.isolated_seconds
         self._next_exchange = (
             now + self._rng.random() * self._limits.exchange_seconds
@@ -89,7 +89,7 @@
 
     def note_contact(self, now: float) -> None:
         """Record a contact with some peer."""
-        self._heard_at = now
+        self._contact_at = now
 
     def note_change(self) -> None:
         """Record that peers must be notified of a change."""
@@ -105,7 +105,9 @@
             return []
         self._must_notify = False
         self._next_notice = now + self._limits.notice_seconds
-        chosen = {self._choose() for _ in range(self._limits.notice_fanout)}
+        chosen = {
+            self._choose_peer() for _ in range(self._limits.notice_fanout)
+        }
         return [
             actions.Notify(peer=peer, generation=generation)
             for peer in sorted(chosen - {""})
@@ -122,19 +124,19 @@
         """
         due: list[actions.Action] = []
         if now >= self._next_exchange:
-            spread = 0.75 + 0.5 * self._rng.random()
-            self._next_exchange = now + self._limits.exchange_seconds * spread
-            peer = self._choose()
+            jitter = 0.75 + 0.5 * self._rng.random()
+            self._next_exchange = now + self._limits.exchange_seconds * jitter
+            peer = self._choose_peer()
             if peer:
                 due.append(actions.Notify(peer=peer, generation=generation))
-        is_isolated = now - self._heard_at >= self._limits.isolated_seconds
+        is_isolated = now - self._contact_at >= self._limits.isolated_seconds
         if is_isolated and now >= self._next_store:
-            spread = 0.5 + self._rng.random()
-            self._next_store = now + self._limits.isolated_seconds * spread
+            jitter = 0.5 + self._rng.random()
+            self._next_store = now + self._limits.isolated_seconds * jitter
             due.append(actions.FetchRoot(source=actions.STORE, have=""))
         return due
 
-    def _choose(self) -> str:
+    def _choose_peer(self) -> str:
         near = self._near if self._rng.random() < 0.5 else ()
         peers = near or self._peers
         return self._rng.choice(peers) if peers else ""
--- a/packages/daisypick_core/src/daisypick_core/configuration/claimed.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/source_generations.py
@@ -5,12 +5,13 @@
 with its generation.
 
 Examples:
-    >>> claims = Claims(rng=random.Random(1))
-    >>> claims.note("a", 3); claims.note("b", 4)
-    >>> claims.best(above=2, now=0.0)
+    >>> generations = SourceGenerations(rng=random.Random(1))
+    >>> generations.record("a", 3); generations.record("b", 4)
+    >>> generations.best_source(above=2, now=0.0)
     'b'
-    >>> claims.suspend("b", 5.0)
-    >>> claims.best(above=2, now=0.0), claims.best(above=2, now=5.0)
+    >>> generations.suspend("b", 5.0)
+    >>> generations.best_source(above=2, now=0.0), generations.best_source(
+    ...     above=2, now=5.0)
     ('a', 'b')
 """
 
@@ -19,7 +20,7 @@
 LIMIT = 16
 
 
-class Claims:
+class SourceGenerations:
     """Reported generations by source."""
 
     def __init__(self, *, rng: random.Random) -> None:
@@ -27,13 +28,13 @@
         self._generation_by_source: dict[str, int] = {}
         self._until_by_source: dict[str, float] = {}
 
-    def claim(self, source: str) -> int:
+    def reported_generation(self, source: str) -> int:
         """Return the generation that a source reported, 0 if none."""
         return self._generation_by_source.get(source, 0)
 
-    def note(self, source: str, generation: int) -> None:
+    def record(self, source: str, generation: int) -> None:
         """Record a generation reported by a source; the highest is kept."""
-        highest = max(self.claim(source), generation)
+        highest = max(self.reported_generation(source), generation)
         self._generation_by_source[source] = highest
         if len(self._generation_by_source) > LIMIT:
             lowest = min(
@@ -42,12 +43,12 @@
             )
             del self._generation_by_source[lowest]
 
-    def set(self, source: str, generation: int) -> None:
+    def replace(self, source: str, generation: int) -> None:
         """Set the generation that a source was seen to have, even if lower."""
         self._until_by_source.pop(source, None)
         self._generation_by_source.pop(source, None)
         if generation > 0:
-            self.note(source, generation)
+            self.record(source, generation)
 
     def suspend(self, source: str, until: float) -> None:
         """Do not select a source before the given time."""
@@ -56,7 +57,7 @@
         if len(self._until_by_source) > LIMIT:
             del self._until_by_source[next(iter(self._until_by_source))]
 
-    def best(self, *, above: int, now: float) -> str | None:
+    def best_source(self, *, above: int, now: float) -> str | None:
         """Return a usable source with the highest generation above a bound."""
         usable = {
             source: generation
@@ -71,17 +72,17 @@
             [source for source, value in usable.items() if value == highest]
         )
 
-    def is_ahead(self, generation: int) -> bool:
+    def has_source_ahead(self, generation: int) -> bool:
         """Return whether a source that has not failed is ahead."""
         return any(
-            claimed > generation and source not in self._until_by_source
-            for source, claimed in self._generation_by_source.items()
+            reported > generation and source not in self._until_by_source
+            for source, reported in self._generation_by_source.items()
         )
 
     def forget_up_to(self, generation: int) -> None:
         """Drop the sources that are no longer ahead."""
         self._generation_by_source = {
-            source: claimed
-            for source, claimed in self._generation_by_source.items()
-            if claimed > generation
+            source: reported
+            for source, reported in self._generation_by_source.items()
+            if reported > generation
         }
--- a/packages/daisypick_core/src/daisypick_core/configuration/spread.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/spread.py
@@ -41,15 +41,15 @@
 import random
 import typing
 
-from daisypick_core.configuration import claimed
 from daisypick_core.configuration import fetch as tree_fetch
-from daisypick_core.configuration import holdings as chunk_holdings
+from daisypick_core.configuration import local_chunks
 from daisypick_core.configuration import model
 from daisypick_core.configuration import patch
 from daisypick_core.configuration import root as root_object
 from daisypick_core.configuration import rounds
+from daisypick_core.configuration import source_generations
 from daisypick_core.configuration import spread_actions as actions
-from daisypick_core.configuration import starting
+from daisypick_core.configuration import startup
 from daisypick_core.configuration import wire
 from daisypick_core.results import failure as failure_value
 
@@ -81,15 +81,15 @@
         self.split_count = 0
         self._rng = rng
         self._limits = limits
-        self._holdings = chunk_holdings.Holdings()
-        self._claims = claimed.Claims(rng=rng)
+        self._local_chunks = local_chunks.LocalChunks()
+        self._source_generations = source_generations.SourceGenerations(rng=rng)
         self._rounds = rounds.Rounds(rng=rng, limits=limits)
         self._fetch: tree_fetch.Fetch | None = None
         self._staged: Mapping[str, bytes] = {}
-        self._asked: tuple[str, float] | None = None
+        self._queried: tuple[str, float] | None = None
         self._rejected: set[str] = set()
-        self._quiet_until = 0.0
-        self._start = starting.Start(rng=rng, limits=limits)
+        self._paused_until = 0.0
+        self._startup = startup.Startup(rng=rng, limits=limits)
 
     @property
     def generation(self) -> int:
@@ -99,12 +99,12 @@
     @property
     def top(self) -> str:
         """Hash of the top chunk in force."""
-        return self._holdings.top
+        return self._local_chunks.top
 
     @property
     def is_ready(self) -> bool:
         """Whether a configuration is in force and startup is complete."""
-        return self.generation > 0 and not self._start.is_under_way
+        return self.generation > 0 and not self._startup.is_under_way
 
     def set_peers(self, peers: Sequence[str], near: Sequence[str]) -> None:
         """Set the addresses of the live peers and of the nearby ones."""
@@ -113,7 +113,7 @@
     def start(self, now: float) -> list[actions.Action]:
         """Query the store and several peers for their roots."""
         sources = [STORE, *self._rounds.start(now)]
-        self._start.begin(sources, now)
+        self._startup.begin(sources, now)
         return [actions.FetchRoot(source=one, have="") for one in sources]
 
     def hear(
@@ -123,8 +123,8 @@
         self._rounds.note_contact(now)
         if generation <= self.generation:
             return []
-        self._claims.note(peer, generation)
-        return self._ask_best(now)
+        self._source_generations.record(peer, generation)
+        return self._query_best(now)
 
     def take_root(
         self,
@@ -133,21 +133,21 @@
         now: float,
     ) -> list[actions.Action]:
         """Process the root of a source, requested or not."""
-        if self._asked is not None and self._asked[0] == source:
-            self._asked = None
+        if self._queried is not None and self._queried[0] == source:
+            self._queried = None
         if failure_value.is_failure(answer):
             return self._source_failed(source, now)
         if source != STORE:
             self._rounds.note_contact(now)
         root = answer.root
-        self._compare(source, root)
-        self._note_root(source, root, now)
-        if self._start.is_asked(source):
-            return self._collected(source, now)
+        self._compare_root(source, root)
+        self._record_root(source, root, now)
+        if self._startup.is_pending(source):
+            return self._settle_startup(source, now)
         if root is None or root.generation <= self.generation:
-            return self._ask_best(now)
+            return self._query_best(now)
         if root.digest in self._rejected:
-            self._quiet_until = now + self._limits.notice_seconds
+            self._paused_until = now + self._limits.notice_seconds
             return []
         return self._fetch_tree(source, root, answer.chunk_by_hash, now)
 
@@ -162,106 +162,112 @@
             return []
         if failure_value.is_failure(chunk_by_hash):
             return self._source_failed(source, now)
-        has_come = self._fetch.offer(chunk_by_hash)
-        if source != self._fetch.source and not self._fetch.is_whole:
+        has_progress = self._fetch.add_chunks(chunk_by_hash)
+        if source != self._fetch.source and not self._fetch.is_complete:
             return []
-        if not has_come and source != STORE:
+        if not has_progress and source != STORE:
             return self._source_failed(source, now)
-        return self._go_on(now)
+        return self._continue_fetch(now)
 
     def tick(self, now: float) -> list[actions.Action]:
         """Process timeouts and due rounds; call this at least once a second."""
         due: list[actions.Action] = []
-        for source in self._start.overdue(now):
+        for source in self._startup.overdue(now):
             due += self._source_failed(source, now)
-        due += self._give_up_slow(now)
-        due += self._start_again(now)
-        due += self._ask_best(now)
+        due += self._check_timeouts(now)
+        due += self._repeat_startup(now)
+        due += self._query_best(now)
         due += self._rounds.due_notices(self.generation, now)
-        if not self._start.is_collecting:
+        if not self._startup.has_pending:
             due += self._rounds.due_exchanges(self.generation, now)
         return due
 
     def answer_root(self, have: str) -> wire.RootAnswer:
         """Return the response to a peer that has the tree ``have``."""
         return wire.RootAnswer(
-            root=self.root, chunk_by_hash=self._holdings.bundle(have)
+            root=self.root, chunk_by_hash=self._local_chunks.bundle(have)
         )
 
     def answer_chunks(self, hashes: Sequence[str]) -> dict[str, bytes]:
         """Return the requested chunks that are held."""
-        return self._holdings.give(hashes[: self._limits.batch])
+        return self._local_chunks.find(hashes[: self._limits.batch])
 
-    def _compare(self, source: str, root: root_object.Root | None) -> None:
+    def _compare_root(self, source: str, root: root_object.Root | None) -> None:
         generation = root.generation if root else 0
         if source == STORE:
             self.is_store_behind = generation < self.generation
         if root and generation == self.generation and root.top != self.top:
             self.split_count += 1
 
-    def _note_root(
+    def _record_root(
         self, source: str, root: root_object.Root | None, now: float
     ) -> None:
         if source == actions.OPERATOR:
             return
         generation = root.generation if root else 0
-        has_claimed = self._claims.claim(source)
-        self._claims.set(source, generation)
-        if generation <= self.generation < has_claimed:
+        reported = self._source_generations.reported_generation(source)
+        self._source_generations.replace(source, generation)
+        if generation <= self.generation < reported:
             # The source reports a generation that it does not have. Without
             # a suspension each contact would fetch its root again.
-            self._claims.suspend(source, now + self._limits.suspend_seconds)
+            self._source_generations.suspend(
+                source, now + self._limits.suspend_seconds
+            )
 
     def _is_busy(self) -> bool:
-        return self._fetch is not None or self._asked is not None
+        return self._fetch is not None or self._queried is not None
 
-    def _ask_best(self, now: float) -> list[actions.Action]:
+    def _query_best(self, now: float) -> list[actions.Action]:
         """Query the source with the highest generation, if it is ahead."""
-        is_held_back = self._start.is_collecting or now < self._quiet_until
-        if self._is_busy() or is_held_back:
+        is_paused = self._startup.has_pending or now < self._paused_until
+        if self._is_busy() or is_paused:
             return []
-        source = self._claims.best(above=self.generation, now=now)
+        source = self._source_generations.best_source(
+            above=self.generation, now=now
+        )
         if source is None:
             return []
-        self._asked = (source, now)
+        self._queried = (source, now)
         return [actions.FetchRoot(source=source, have=self.top)]
 
-    def _collected(self, source: str, now: float) -> list[actions.Action]:
-        if not self._start.settle(source, now):
+    def _settle_startup(self, source: str, now: float) -> list[actions.Action]:
+        if not self._startup.settle(source, now):
             return []
-        self._end_start()
-        return self._ask_best(now)
+        self._complete_startup()
+        return self._query_best(now)
 
-    def _end_start(self) -> None:
+    def _complete_startup(self) -> None:
         """Complete startup unless a source that has not failed is ahead."""
-        is_behind = self._claims.is_ahead(self.generation)
-        is_waiting = self._start.is_collecting or is_behind
+        is_behind = self._source_generations.has_source_ahead(self.generation)
+        is_waiting = self._startup.has_pending or is_behind
         if self.generation > 0 and not is_waiting:
-            self._start.is_under_way = False
+            self._startup.is_under_way = False
 
-    def _start_again(self, now: float) -> list[actions.Action]:
-        if self._start.is_under_way and not self._is_busy():
-            self._end_start()
-        if self._is_busy() or not self._start.may_ask_again(now):
+    def _repeat_startup(self, now: float) -> list[actions.Action]:
+        if self._startup.is_under_way and not self._is_busy():
+            self._complete_startup()
+        if self._is_busy() or not self._startup.is_round_due(now):
             return []
         return self.start(now)
 
     def _source_failed(self, source: str, now: float) -> list[actions.Action]:
-        self._claims.suspend(source, now + self._limits.suspend_seconds)
+        self._source_generations.suspend(
+            source, now + self._limits.suspend_seconds
+        )
         if self._fetch is not None and self._fetch.source == source:
             self._staged = self._fetch.staged
             self._fetch = None
-        if self._start.is_asked(source):
-            return self._collected(source, now)
-        return self._ask_best(now)
+        if self._startup.is_pending(source):
+            return self._settle_startup(source, now)
+        return self._query_best(now)
 
-    def _give_up_slow(self, now: float) -> list[actions.Action]:
+    def _check_timeouts(self, now: float) -> list[actions.Action]:
         latest = now - self._limits.fetch_timeout
         if self._fetch is not None and self._fetch.since <= latest:
             return self._source_failed(self._fetch.source, now)
-        if self._asked is not None and self._asked[1] <= latest:
-            source, _ = self._asked
-            self._asked = None
+        if self._queried is not None and self._queried[1] <= latest:
+            source, _ = self._queried
+            self._queried = None
             return self._source_failed(source, now)
         return []
 
@@ -274,19 +280,19 @@
     ) -> list[actions.Action]:
         if self._fetch is not None:
             if root.generation <= self._fetch.root.generation:
-                return self._help_fetch(root, chunk_by_hash, now)
+                return self._add_to_fetch(root, chunk_by_hash, now)
             self._staged = self._fetch.staged
         self._fetch = tree_fetch.Fetch(
             root=root,
             source=source,
             since=now,
-            holdings=self._holdings,
+            held=self._local_chunks,
             staged=self._staged,
         )
-        self._fetch.offer(chunk_by_hash)
-        return self._go_on(now)
+        self._fetch.add_chunks(chunk_by_hash)
+        return self._continue_fetch(now)
 
-    def _help_fetch(
+    def _add_to_fetch(
         self,
         root: root_object.Root,
         chunk_by_hash: Mapping[str, bytes],
@@ -296,21 +302,21 @@
         fetch = self._fetch
         assert fetch is not None
         if root.digest == fetch.root.digest:
-            fetch.offer(chunk_by_hash)
-        return self._go_on(now) if fetch.is_whole else []
+            fetch.add_chunks(chunk_by_hash)
+        return self._continue_fetch(now) if fetch.is_complete else []
 
-    def _go_on(self, now: float) -> list[actions.Action]:
+    def _continue_fetch(self, now: float) -> list[actions.Action]:
         """Take the next step of the fetch."""
         fetch = self._fetch
         assert fetch is not None
         fetch.since = now
-        if fetch.is_whole:
+        if fetch.is_complete:
             return self._adopt(fetch, now)
         if fetch.source != STORE:
             hashes = fetch.next_hashes(self._limits.batch)
             return [actions.FetchChunks(source=fetch.source, hashes=hashes)]
-        if fetch.packs_left:
-            return [actions.FetchPack(name=fetch.packs_left.pop())]
+        if fetch.remaining_packs:
+            return [actions.FetchPack(name=fetch.remaining_packs.pop())]
         return self._source_failed(STORE, now)
 
     def _adopt(
@@ -321,21 +327,21 @@
         # A higher root may have been put in force in the meantime. Lowering
         # the generation would make a removed API key valid again.
         if fetch.root.generation <= self.generation:
-            return self._ask_best(now)
+            return self._query_best(now)
         patched = self._patch(fetch)
         if failure_value.is_failure(patched):
             self._rejected.add(fetch.root.digest)
-            self._quiet_until = now + self._limits.notice_seconds
-            self._claims.suspend(
+            self._paused_until = now + self._limits.notice_seconds
+            self._source_generations.suspend(
                 fetch.source, now + self._limits.suspend_seconds
             )
             return [actions.Reject(source=fetch.source, failure=patched)]
-        self._holdings.move_to(fetch.root.top, fetch.staged)
+        self._local_chunks.switch_to(fetch.root.top, fetch.staged)
         self.configuration = patched.configuration
         self.root = fetch.root
         self._rejected.clear()
-        self._claims.forget_up_to(self.generation)
-        self._end_start()
+        self._source_generations.forget_up_to(self.generation)
+        self._complete_startup()
         self._rounds.note_change()
         in_force = actions.PutInForce(
             configuration=patched.configuration,
@@ -344,16 +350,16 @@
         return [
             in_force,
             *self._rounds.due_notices(self.generation, now),
-            *self._ask_best(now),
+            *self._query_best(now),
         ]
 
     def _patch(
         self, fetch: tree_fetch.Fetch
     ) -> patch.Patched | failure_value.Failure:
-        held = self._holdings.chunk_by_hash
+        held = self._local_chunks.chunk_by_hash
         return patch.patch(
             self.configuration,
-            self._holdings.top,
+            self._local_chunks.top,
             fetch.root.top,
             {**held, **fetch.staged},
             generation=fetch.root.generation,
@@ -371,5 +377,5 @@
             "fetches_generation": (
                 self._fetch.root.generation if self._fetch else 0
             ),
-            "chunks": len(self._holdings.chunk_by_hash),
+            "chunks": len(self._local_chunks.chunk_by_hash),
         }
--- a/packages/daisypick_core/src/daisypick_core/configuration/starting.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/startup.py
@@ -5,13 +5,13 @@
 response may come from a source that is behind.
 
 Examples:
-    >>> start = Start(rng=random.Random(1), limits=rounds.DEFAULT_LIMITS)
-    >>> start.begin(["store", "p1"], 0.0)
-    >>> start.settle("store", 0.1), start.is_collecting
+    >>> startup = Startup(rng=random.Random(1), limits=rounds.DEFAULT_LIMITS)
+    >>> startup.begin(["store", "p1"], 0.0)
+    >>> startup.settle("store", 0.1), startup.has_pending
     (False, True)
-    >>> start.overdue(2.9), start.overdue(3.0)
+    >>> startup.overdue(2.9), startup.overdue(3.0)
     ([], ['p1'])
-    >>> start.settle("p1", 3.0), start.is_collecting
+    >>> startup.settle("p1", 3.0), startup.has_pending
     (True, False)
 """
 
@@ -21,7 +21,7 @@
 from daisypick_core.configuration import rounds
 
 
-class Start:
+class Startup:
     """The sources queried at startup that have not responded.
 
     Attributes:
@@ -34,29 +34,29 @@
         self.is_under_way = False
         self._rng = rng
         self._limits = limits
-        self._asked: set[str] = set()
-        self._until = 0.0
+        self._pending: set[str] = set()
+        self._deadline = 0.0
         self._next_round = 0.0
 
     @property
-    def is_collecting(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether a response is still pending."""
-        return bool(self._asked)
+        return bool(self._pending)
 
     def begin(self, sources: Iterable[str], now: float) -> None:
         """Record a round of queries."""
         self.is_under_way = True
-        self._asked = set(sources)
-        self._until = now + self._limits.fetch_timeout
+        self._pending = set(sources)
+        self._deadline = now + self._limits.fetch_timeout
 
-    def is_asked(self, source: str) -> bool:
+    def is_pending(self, source: str) -> bool:
         """Return whether the response of a source is pending."""
-        return source in self._asked
+        return source in self._pending
 
     def settle(self, source: str, now: float) -> bool:
         """Record a response or a failure; return whether it was the last."""
-        self._asked.discard(source)
-        if self._asked:
+        self._pending.discard(source)
+        if self._pending:
             return False
         pause = self._limits.start_retry * (0.5 + self._rng.random())
         self._next_round = now + pause
@@ -64,9 +64,9 @@
 
     def overdue(self, now: float) -> list[str]:
         """Return the sources that have timed out."""
-        return sorted(self._asked) if now >= self._until else []
+        return sorted(self._pending) if now >= self._deadline else []
 
-    def may_ask_again(self, now: float) -> bool:
+    def is_round_due(self, now: float) -> bool:
         """Return whether another round of queries is due."""
         is_due = now >= self._next_round
-        return self.is_under_way and not self._asked and is_due
+        return self.is_under_way and not self._pending and is_due
--- a/packages/daisypick_core/src/daisypick_core/configuration/wire.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/wire.py
@@ -86,7 +86,7 @@
         return _bad_message(error)
 
 
-def keep_sound(chunk_by_hash: Mapping[str, bytes]) -> dict[str, bytes]:
+def keep_valid(chunk_by_hash: Mapping[str, bytes]) -> dict[str, bytes]:
     """Return the chunks that match their hashes."""
     return {
         chunk_hash: chunk
@@ -100,7 +100,7 @@
 
 
 def _from_raw(raw_by_hash: Mapping[str, msgspec.Raw]) -> dict[str, bytes]:
-    return keep_sound({key: bytes(raw) for key, raw in raw_by_hash.items()})
+    return keep_valid({key: bytes(raw) for key, raw in raw_by_hash.items()})
 
 
 def _bad_message(error: Exception) -> failure_value.Failure:
--- a/packages/daisypick_core/tests/configuration/test_spread.py
+++ b/packages/daisypick_core/tests/configuration/test_spread.py
@@ -82,7 +82,7 @@
     return seen
 
 
-def bring_up(generation, **limits):
+def start_holder(generation, **limits):
     holder = make_holder(**limits)
     sources = dict.fromkeys((actions.STORE, *PEERS), Source(generation))
     run(holder, holder.start(0.0), sources)
@@ -157,7 +157,7 @@
 def test_lower_generation_never_comes_in_force():
     # A partitioned node rejoins with an old generation; its contacts, its root
     # and its late chunks reach a node that is ahead.
-    holder = bring_up(5)
+    holder = start_holder(5)
     stale = Source(3)
     before = holder.configuration
     assert holder.hear("p1", 3, 1.0) == []
@@ -169,8 +169,8 @@
 
 
 def test_peer_a_few_changes_behind_gets_all_in_one_answer():
-    ahead = bring_up(2)
-    behind = bring_up(2)
+    ahead = start_holder(2)
+    behind = start_holder(2)
     for generation in (3, 4):
         run(
             ahead,
@@ -192,7 +192,7 @@
     # p1 is ahead but responds with corrupt chunks, p2 with half of them and
     # then none. The node keeps the valid chunks, stays on its generation and
     # completes the fetch from p3.
-    holder = bring_up(1, batch=8)
+    holder = start_holder(1, batch=8)
     new = Source(6)
     answer = wire.RootAnswer(root=new.root, chunk_by_hash={})
     (ask,) = holder.hear("p1", 6, 1.0)
@@ -213,7 +213,7 @@
 
 
 def test_sound_chunks_of_a_senseless_tree_are_rejected():
-    holder = bring_up(1)
+    holder = start_holder(1)
     chunk = b'{"organisations/o":{"share":"big"}}'
     top = chunks.hash_chunk(chunk)
     root = root_object.make_root(generation=9, change_id="x", top=top)
@@ -227,7 +227,7 @@
 
 
 def test_peer_that_claims_what_it_lacks_is_left_alone():
-    holder = bring_up(2)
+    holder = start_holder(2)
     (ask,) = holder.hear("p1", 1_000_000, 1.0)
     answer = wire.RootAnswer(root=Source(2).root, chunk_by_hash={})
     assert holder.take_root(ask.source, answer, 1.0) == []
@@ -239,7 +239,7 @@
     # An operator's command line pushes a change, with the latest chunks only,
     # to a node that is several generations behind, and exits. It accepts no
     # requests; the node continues with the next peer that contacts it.
-    holder = bring_up(1)
+    holder = start_holder(1)
     new = Source(6)
     answer = wire.RootAnswer(root=new.root, chunk_by_hash={})
     (ask,) = holder.take_root(actions.OPERATOR, answer, 1.0)
@@ -255,7 +255,7 @@
 def test_offer_completes_a_fetch_that_is_under_way():
     # A watcher is reading a change from a slow store when the operator's
     # command line pushes the same change with its chunks.
-    holder = bring_up(1)
+    holder = start_holder(1)
     new = Source(6)
     answer = wire.RootAnswer(root=new.root, chunk_by_hash={})
     assert len(holder.take_root(actions.STORE, answer, 1.0)) == 1
@@ -270,7 +270,7 @@
 def test_change_that_is_taken_back_moves_no_chunk():
     # A data centre is taken out of service and put back: the tree equals the
     # former one, whose chunks the node has kept.
-    holder = bring_up(1)
+    holder = start_holder(1)
     run(holder, holder.hear("p1", 2, 1.0), {"p1": Source(2)}, now=1.0)
     back = root_object.make_root(
         generation=3, change_id="c3", top=Source(1).root.top
@@ -281,7 +281,7 @@
 
 
 def test_silent_source_is_replaced():
-    holder = bring_up(2)
+    holder = start_holder(2)
     (ask,) = holder.hear("p1", 3, 1.0)
     assert (ask.source, holder.hear("p2", 3, 1.0)) == ("p1", [])
     seen = run(holder, holder.tick(4.0), {"p2": Source(3)}, now=4.0)
@@ -290,7 +290,7 @@
 
 
 def test_news_is_passed_on_in_capped_rounds():
-    holder = bring_up(2)
+    holder = start_holder(2)
     told = []
     for step in range(40):
         now = 2.0 + step / 10
@@ -304,7 +304,7 @@
 
 
 def test_isolated_node_asks_the_store():
-    holder = bring_up(2)
+    holder = start_holder(2)
     due = holder.tick(60.0)
     asked = [a.source for a in due if isinstance(a, actions.FetchRoot)]
     assert actions.STORE in asked
@@ -313,7 +313,7 @@
 
 
 def test_store_restored_from_an_old_backup_is_told():
-    holder = bring_up(5)
+    holder = start_holder(5)
     answer = wire.RootAnswer(root=Source(3).root, chunk_by_hash={})
     assert holder.take_root(actions.STORE, answer, 1.0) == []
     assert holder.describe()["is_store_behind"]
@@ -333,7 +333,7 @@
 SOURCES = {generation: Source(generation) for generation in range(1, 7)}
 
 
-def put_in(holder, event, name, source, now):
+def deliver(holder, event, name, source, now):
     """Deliver an unsolicited event; return the resulting actions."""
     if event == "hear":
         return holder.hear(name, source.root.generation, now)
@@ -353,12 +353,12 @@
 def test_generation_never_falls_whatever_comes_in_what_order(events, start):
     # Responses arrive late, duplicated, out of order or from stale sources at
     # a node that starts empty or with any generation.
-    holder = bring_up(start) if start else make_holder()
+    holder = start_holder(start) if start else make_holder()
     if not start:
         holder.start(0.0)
     for step, (event, name, generation) in enumerate(events):
         before = holder.generation
-        due = put_in(holder, event, name, SOURCES[generation], step / 2)
+        due = deliver(holder, event, name, SOURCES[generation], step / 2)
         for action in due:
             if isinstance(action, actions.PutInForce):
                 assert action.configuration.generation > before
