--- a/packages/daisypick_core/src/daisypick_core/configuration/check.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/check.py
@@ -96,7 +96,7 @@
     field = section.field(key)
     if field is None:
         known = ", ".join(field.key for field in section.fields)
-        reason = f"is no known key, expected {known}"
+        reason = f"is not a known key, expected {known}"
         yield faults.Fault(given.file, path, codes.UNKNOWN_SETTING, reason)
         return
     try:
--- a/packages/daisypick_core/src/daisypick_core/configuration/cross_checks.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/cross_checks.py
@@ -91,7 +91,7 @@
             address = getattr(server, key)
             user = user_by_address.setdefault(address, path)
             if user != path:
-                reason = f"{address} is used by {user} too"
+                reason = f"{address} is also used by {user}"
                 yield _fault(path, codes.DUPLICATE_VALUE, reason)
 
 
@@ -121,5 +121,5 @@
             yield _fault(f"{path}.model", codes.MISSING_KEY, reason)
         for key in ("model", "version", "adapters"):
             if service.kind == model.PLAIN and getattr(service, key):
-                reason = "makes no sense for a service of kind 'plain'"
+                reason = "must not be set for a service of kind 'plain'"
                 yield _fault(f"{path}.{key}", codes.BAD_VALUE, reason)
--- a/packages/daisypick_core/src/daisypick_core/configuration/merge.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/merge.py
@@ -81,7 +81,7 @@
         return
     for section, entries in document.items():
         if section not in sections.by_name:
-            reason = "is no section, expected " + ", ".join(sections.by_name)
+            reason = "is not a section, expected " + ", ".join(sections.by_name)
             found.append(
                 faults.Fault(file.name, section, codes.UNKNOWN_SETTING, reason)
             )
@@ -133,7 +133,7 @@
 ) -> None:
     key = f"{section}.{name}.{sections.ABSENT}"
     if table != {sections.ABSENT: True}:
-        reason = "must be true and stand alone; to keep the entry, leave it out"
+        reason = "must be true and the only key; to keep the entry, omit it"
         merged.faults.append(faults.Fault(file, key, codes.BAD_VALUE, reason))
     elif merged.entries[section].pop(name, None) is None:
         # Ignoring a misspelt name would silently leave the entry in force.
--- a/packages/daisypick_core/src/daisypick_core/configuration/values.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/values.py
@@ -93,7 +93,9 @@
     """
     for position, key_hash in enumerate(value):
         if not _SHA256_HEX.fullmatch(key_hash):
-            return f"item {position} is no SHA-256 in 64 lower-case hex digits"
+            return (
+                f"item {position} must be a SHA-256 in 64 lower-case hex digits"
+            )
     return None
 
 
@@ -136,7 +138,7 @@
     try:
         ipaddress.ip_address(host.strip("[]"))
     except ValueError:
-        return f"is {value!r}, must be an IP number and a port"
+        return f"is {value!r}, must be an IP address and a port"
     if not port.isdecimal() or not 1 <= int(port) <= 65535:
         return f"is {value!r}, its port must be in 1..65535"
     return None
--- a/packages/daisypick_core/tests/configuration/test_check.py
+++ b/packages/daisypick_core/tests/configuration/test_check.py
@@ -24,7 +24,7 @@
     return check.check(merge.merge(reversed(files)))
 
 
-def test_example_folder_is_sound_and_tells_where_values_come_from():
+def test_example_folder_is_valid_and_each_value_has_its_file():
     files = [
         merge.SourceFile(path.name, path.read_text())
         for path in EXAMPLES.glob("*.toml")
@@ -40,12 +40,12 @@
     assert checked.file_by_key[f"{path}.max_open"] == check.DEFAULT
 
 
-def test_later_file_removes_an_entry_and_another_makes_it_anew():
-    made = "[organisations.o]\nshare = 9.0\nmax_open = 3"
-    gone = "[organisations.o]\nabsent = true"
-    checked = check_texts(made, gone)
+def test_later_file_removes_an_entry_and_another_defines_it_again():
+    defined = "[organisations.o]\nshare = 9.0\nmax_open = 3"
+    removed = "[organisations.o]\nabsent = true"
+    checked = check_texts(defined, removed)
     assert checked.configuration.organisations_by_name == {}
-    checked = check_texts(made, gone, "[organisations.o]\nshare = 2.0")
+    checked = check_texts(defined, removed, "[organisations.o]\nshare = 2.0")
     organisation = checked.configuration.organisations_by_name["o"]
     assert (organisation.share, organisation.max_open) == (2.0, 1024)
 
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize(
     ("text", "key", "code", "reason"),
     [
-        ("[x.y]", "x", codes.UNKNOWN_SETTING, "is no section"),
+        ("[x.y]", "x", codes.UNKNOWN_SETTING, "is not a section"),
         ("organisations = 1", "organisations", codes.BAD_VALUE, "table"),
         ("[organisations]\no = 1", "organisations.o", codes.BAD_VALUE, "table"),
         ("[[", "", codes.BAD_FILE, "(at "),
@@ -61,7 +61,7 @@
             "[organisations.o]\nshares = 1",
             "organisations.o.shares",
             codes.UNKNOWN_SETTING,
-            "is no known key",
+            "is not a known key",
         ),
         (
             '[organisations.o]\nshare = "big"',
@@ -97,7 +97,7 @@
             "[organisations.o]\nabsent = true\nshare = 1.0",
             "organisations.o.absent",
             codes.BAD_VALUE,
-            "stand alone",
+            "the only key",
         ),
         (
             f'[organisations.a]\nkey_hashes = ["{KEY_HASH}"]\n'
@@ -116,7 +116,7 @@
             '[services.s]\nkind = "plain"\nmodel = "m"',
             "services.s.model",
             codes.BAD_VALUE,
-            "makes no sense",
+            "must not be set",
         ),
         (
             '[services.s]\nkind = "plain"\n'
@@ -141,13 +141,13 @@
             BASE + SERVER.replace("127.0.0.1:2", "127.0.0.1:1"),
             "backend_servers.s.agent",
             codes.DUPLICATE_VALUE,
-            "is used by backend_servers.s.address too",
+            "is also used by backend_servers.s.address",
         ),
         (
             BASE + SERVER.replace("127.0.0.1:2", "localhost:2"),
             "backend_servers.s.agent",
             codes.BAD_VALUE,
-            "must be an IP number",
+            "must be an IP address",
         ),
         (
             BASE + SERVER.replace('data_centre = "sofia"\n', ""),
@@ -165,7 +165,7 @@
     assert reason in fault.reason
 
 
-def test_all_faults_are_told_at_once_with_the_overriding_file():
+def test_all_faults_are_reported_at_once_with_the_overriding_file():
     checked = check_texts(
         "[organisations.o]\nshare = 1.0\nmax_open = 0",
         "[organisations.o]\nshare = -1.0",
@@ -176,7 +176,7 @@
     ]
 
 
-def test_key_in_place_of_its_hash_is_not_repeated():
+def test_plaintext_key_in_place_of_its_hash_is_not_repeated():
     (fault,) = check_texts(
         '[organisations.o]\nkey_hashes = ["my-secret"]'
     ).faults
--- a/packages/daisypick_core/tests/configuration/test_chunks.py
+++ b/packages/daisypick_core/tests/configuration/test_chunks.py
@@ -6,7 +6,7 @@
 from daisypick_core.configuration import sections
 from daisypick_core.results import codes
 
-LETTER_ORGANISATIONS = 22_000
+MANY_ORGANISATIONS = 22_000
 
 
 def make_configuration(count, share=1.0):
@@ -39,7 +39,7 @@
 
 @hypothesis.settings(derandomize=True, max_examples=30, deadline=None)
 @hypothesis.given(strategies.integers(0, 300), strategies.integers(1, 8))
-def test_join_gives_back_what_split_took(count, leaf_limit):
+def test_join_is_the_inverse_of_split(count, leaf_limit):
     configuration = make_configuration(count)
     tree = chunks.split(configuration, fanout=4, leaf_limit=leaf_limit)
     assert chunks.join(1, tree.top, tree.chunk_by_hash) == configuration
@@ -49,17 +49,17 @@
     )
 
 
-def test_change_among_the_letters_organisations_moves_a_few_kilobytes():
-    before = make_configuration(LETTER_ORGANISATIONS)
+def test_change_among_many_organisations_transfers_a_few_kilobytes():
+    before = make_configuration(MANY_ORGANISATIONS)
     old = chunks.split(before)
     new = chunks.split(change(before, "org-12345", 2.0))
     held = old.chunk_by_hash | new.chunk_by_hash
     changed = chunks.changed_chunks(old.top, new.top, held)
     assert changed == set(new.chunk_by_hash) - set(old.chunk_by_hash)
     assert len(changed) == 4
-    moved = sum(len(new.chunk_by_hash[chunk]) for chunk in changed)
-    whole = sum(len(chunk) for chunk in new.chunk_by_hash.values())
-    assert moved < 2_000 < whole / 1_000
+    changed_bytes = sum(len(new.chunk_by_hash[chunk]) for chunk in changed)
+    total_bytes = sum(len(chunk) for chunk in new.chunk_by_hash.values())
+    assert changed_bytes < 2_000 < total_bytes / 1_000
 
 
 def test_missing_chunks_lead_from_one_tree_to_the_next():
@@ -74,7 +74,7 @@
     assert len(fetched) == 3
 
 
-def test_damaged_trees_are_failures():
+def test_corrupt_trees_are_failures():
     tree = chunks.split(make_configuration(100))
     partial = dict(tree.chunk_by_hash)
     partial.popitem()
@@ -89,7 +89,7 @@
         assert failure.code == codes.BAD_CHUNK
 
 
-def test_keys_and_sections_of_a_later_release_are_left_out():
+def test_keys_and_sections_of_a_later_release_are_ignored():
     chunk = b'{"organisations/o": {"share": 2.0, "new": 1}, "new/n": {}}'
     joined = chunks.join(1, "x", {"x": chunk})
     assert joined.organisations_by_name == {"o": model.Organisation("o", 2.0)}
--- a/packages/daisypick_core/tests/configuration/test_spread.py
+++ b/packages/daisypick_core/tests/configuration/test_spread.py
@@ -90,7 +90,7 @@
     return holder
 
 
-def test_restart_takes_the_highest_before_it_is_ready():
+def test_restart_adopts_the_highest_generation_before_it_is_ready():
     # A node restarts without state. The store and one peer are behind, one
     # peer is down and one has the newest generation. If the node became ready
     # on the first response, callers would see an older configuration.
@@ -112,13 +112,13 @@
     assert holder.is_ready
 
 
-def test_restart_while_the_store_is_down_takes_a_peers():
+def test_restart_while_the_store_is_down_uses_a_peer():
     holder = make_holder()
     run(holder, holder.start(0.0), {"p2": Source(4)})
     assert (holder.generation, holder.is_ready) == (4, True)
 
 
-def test_restart_while_peers_are_down_takes_the_stores():
+def test_restart_while_peers_are_down_uses_the_store():
     # The objects in the store are read newest first; a leaf may be in an
     # older object than the node that references it.
     holder = make_holder()
@@ -129,7 +129,7 @@
     assert holder.is_ready
 
 
-def test_restart_with_neither_is_not_ready_and_asks_again():
+def test_restart_without_any_source_is_not_ready_and_retries():
     holder = make_holder()
     run(holder, holder.start(0.0), {})
     assert (holder.generation, holder.is_ready) == (0, False)
@@ -141,7 +141,7 @@
     assert holder.is_ready
 
 
-def test_restart_does_not_wait_for_silent_sources():
+def test_restart_does_not_wait_for_unresponsive_sources():
     # The requests to p1 and p2 get neither a response nor a failure. After
     # the timeout the best response received until then is used.
     holder = make_holder()
@@ -154,7 +154,7 @@
     assert holder.is_ready
 
 
-def test_lower_generation_never_comes_in_force():
+def test_lower_generation_is_never_put_in_force():
     # A partitioned node rejoins with an old generation; its contacts, its root
     # and its late chunks reach a node that is ahead.
     holder = start_holder(5)
@@ -168,7 +168,7 @@
     assert holder.configuration is before
 
 
-def test_peer_a_few_changes_behind_gets_all_in_one_answer():
+def test_peer_a_few_changes_behind_gets_all_in_one_response():
     ahead = start_holder(2)
     behind = start_holder(2)
     for generation in (3, 4):
@@ -177,8 +177,8 @@
             ahead.hear("p1", generation, 1.0),
             {"p1": Source(generation)},
         )
-    (ask,) = behind.hear("p2", 4, 2.0)
-    answer = ahead.answer_root(ask.have)
+    (request,) = behind.hear("p2", 4, 2.0)
+    answer = ahead.answer_root(request.have)
     data = wire.encode_answer(answer)
     due = behind.take_root("p2", wire.decode_answer(data), 2.0)
     assert isinstance(due[0], actions.PutInForce)
@@ -188,22 +188,22 @@
     assert len(ahead.answer_root("unknown").chunk_by_hash) == 1
 
 
-def test_bad_and_partial_chunks_do_no_harm():
+def test_corrupt_and_partial_chunks_do_no_harm():
     # p1 is ahead but responds with corrupt chunks, p2 with half of them and
     # then none. The node keeps the valid chunks, stays on its generation and
     # completes the fetch from p3.
     holder = start_holder(1, batch=8)
     new = Source(6)
     answer = wire.RootAnswer(root=new.root, chunk_by_hash={})
-    (ask,) = holder.hear("p1", 6, 1.0)
-    (chunk_ask,) = holder.take_root("p1", answer, 1.0)
-    bad = dict.fromkeys(chunk_ask.hashes, b"{}")
+    (request,) = holder.hear("p1", 6, 1.0)
+    (chunk_request,) = holder.take_root("p1", answer, 1.0)
+    bad = dict.fromkeys(chunk_request.hashes, b"{}")
     assert holder.take_chunks("p1", bad, 1.0) == []
     assert holder.generation == 1
-    (ask,) = holder.hear("p2", 6, 1.0)
-    (chunk_ask,) = holder.take_root("p2", answer, 1.0)
-    given = {key: new.chunk_by_hash[key] for key in chunk_ask.hashes}
-    (chunk_ask,) = holder.take_chunks("p2", given, 1.0)
+    (request,) = holder.hear("p2", 6, 1.0)
+    (chunk_request,) = holder.take_root("p2", answer, 1.0)
+    given = {key: new.chunk_by_hash[key] for key in chunk_request.hashes}
+    (chunk_request,) = holder.take_chunks("p2", given, 1.0)
     assert holder.take_chunks("p2", {}, 1.0) == []
     assert holder.generation == 1
     seen = run(holder, holder.hear("p3", 6, 1.0), {"p3": new}, now=1.0)
@@ -212,7 +212,7 @@
     assert holder.configuration == make_configuration(6)
 
 
-def test_sound_chunks_of_a_senseless_tree_are_rejected():
+def test_intact_chunks_of_an_invalid_tree_are_rejected():
     holder = start_holder(1)
     chunk = b'{"organisations/o":{"share":"big"}}'
     top = chunks.hash_chunk(chunk)
@@ -226,24 +226,24 @@
     assert holder.generation == 10
 
 
-def test_peer_that_claims_what_it_lacks_is_left_alone():
+def test_peer_that_reports_a_generation_it_lacks_is_suspended():
     holder = start_holder(2)
-    (ask,) = holder.hear("p1", 1_000_000, 1.0)
+    (request,) = holder.hear("p1", 1_000_000, 1.0)
     answer = wire.RootAnswer(root=Source(2).root, chunk_by_hash={})
-    assert holder.take_root(ask.source, answer, 1.0) == []
+    assert holder.take_root(request.source, answer, 1.0) == []
     assert holder.hear("p1", 1_000_000, 1.1) == []
     assert len(holder.hear("p2", 3, 1.2)) == 1
 
 
-def test_incomplete_offer_is_not_asked_for_more():
+def test_sender_of_an_incomplete_push_is_not_asked_for_more():
     # An operator's command line pushes a change, with the latest chunks only,
     # to a node that is several generations behind, and exits. It accepts no
     # requests; the node continues with the next peer that contacts it.
     holder = start_holder(1)
     new = Source(6)
     answer = wire.RootAnswer(root=new.root, chunk_by_hash={})
-    (ask,) = holder.take_root(actions.OPERATOR, answer, 1.0)
-    due = holder.take_chunks(ask.source, DOWN, 1.0)
+    (request,) = holder.take_root(actions.OPERATOR, answer, 1.0)
+    due = holder.take_chunks(request.source, DOWN, 1.0)
     for now in (2.0, 10.0, 20.0):
         due += holder.tick(now)
     asked = [a.source for a in due if isinstance(a, actions.FetchRoot)]
@@ -252,7 +252,7 @@
     assert holder.generation == 6
 
 
-def test_offer_completes_a_fetch_that_is_under_way():
+def test_push_completes_a_fetch_in_progress():
     # A watcher is reading a change from a slow store when the operator's
     # command line pushes the same change with its chunks.
     holder = start_holder(1)
@@ -267,7 +267,7 @@
     assert holder.generation == 6
 
 
-def test_change_that_is_taken_back_moves_no_chunk():
+def test_reverted_change_transfers_no_chunk():
     # A data centre is taken out of service and put back: the tree equals the
     # former one, whose chunks the node has kept.
     holder = start_holder(1)
@@ -280,30 +280,30 @@
     assert due[0].configuration == make_configuration(1)._replace(generation=3)
 
 
-def test_silent_source_is_replaced():
+def test_source_that_times_out_is_replaced():
     holder = start_holder(2)
-    (ask,) = holder.hear("p1", 3, 1.0)
-    assert (ask.source, holder.hear("p2", 3, 1.0)) == ("p1", [])
+    (request,) = holder.hear("p1", 3, 1.0)
+    assert (request.source, holder.hear("p2", 3, 1.0)) == ("p1", [])
     seen = run(holder, holder.tick(4.0), {"p2": Source(3)}, now=4.0)
     assert holder.generation == 3
     assert any(isinstance(a, actions.Notify) for a in seen)
 
 
-def test_news_is_passed_on_in_capped_rounds():
+def test_changes_are_announced_in_rate_limited_rounds():
     holder = start_holder(2)
-    told = []
+    notices = []
     for step in range(40):
         now = 2.0 + step / 10
         generation = 3 + step
         due = holder.hear("p1", generation, now)
         due += holder.tick(now)
         seen = run(holder, due, {"p1": Source(generation)}, now=now)
-        told += [a for a in seen if isinstance(a, actions.Notify)]
+        notices += [a for a in seen if isinstance(a, actions.Notify)]
     assert holder.generation == 42
-    assert len(told) <= 4 * rounds.DEFAULT_LIMITS.notice_fanout
+    assert len(notices) <= 4 * rounds.DEFAULT_LIMITS.notice_fanout
 
 
-def test_isolated_node_asks_the_store():
+def test_isolated_node_queries_the_store():
     holder = start_holder(2)
     due = holder.tick(60.0)
     asked = [a.source for a in due if isinstance(a, actions.FetchRoot)]
@@ -312,7 +312,7 @@
     assert holder.generation == 3
 
 
-def test_store_restored_from_an_old_backup_is_told():
+def test_store_restored_from_an_old_backup_is_detected():
     holder = start_holder(5)
     answer = wire.RootAnswer(root=Source(3).root, chunk_by_hash={})
     assert holder.take_root(actions.STORE, answer, 1.0) == []
@@ -350,7 +350,7 @@
 
 @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
 @hypothesis.given(EVENTS, strategies.integers(0, 6))
-def test_generation_never_falls_whatever_comes_in_what_order(events, start):
+def test_generation_never_decreases_for_any_order_of_events(events, start):
     # Responses arrive late, duplicated, out of order or from stale sources at
     # a node that starts empty or with any generation.
     holder = start_holder(start) if start else make_holder()
