--- a/packages/daisypick_core/src/daisypick_core/routing/__init__.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/__init__.py
@@ -1,23 +1,23 @@
-"""The router's decisions: what waits, where it is sent, what is retried.
+"""The router's decisions: queueing, load balancing and retries.
 
-* ``dispatcher``: the router's core, which composes the parts below.
-* ``actions``: what the dispatcher asks its driver to do.
-* ``request``: a request, its state on the way, and the bounds.
-* ``backlog``: the bounds that a flood meets.
-* ``sender``: which request goes where next.
-* ``agents``: what the router believes of each agent.
+* ``dispatcher``: the router's core, composed of the modules below.
+* ``actions``: the actions that the driver carries out.
+* ``request``: a request, its state in the router, and the queue limits.
+* ``backlog``: the queue limits under overload.
+* ``sender``: which request is sent to which agent next.
+* ``agents``: the router's estimate of the state of each agent.
 * ``directory``: the agents by address and service; suspensions.
-* ``service_view``: the agents of a service, kept for a quick choice.
-* ``allowance``: how much of an organisation may wait at agents.
+* ``service_view``: the agents of a service, indexed for selection.
+* ``allowance``: how many attempts of an organisation may wait at agents.
 * ``pick``: the registered policies that choose an agent.
-* ``affinity``: which agents a prefix belongs to.
-* ``hedge``: giving up on agents that do not answer.
-* ``outliers``: which agents are slow.
-* ``rebalance``: taking back what waits while other slots are free.
-* ``flights``: attempts that are out.
-* ``refusals``: what becomes of a refusal.
-* ``returns``: sending out again, or the final answer.
-* ``retries``: backoff and budget of what came back.
-* ``retry_budget``: how many retries the fleet's health allows.
-* ``backoff``, ``timers``: pauses with jitter, and when they end.
+* ``affinity``: the preferred agents of a prompt prefix.
+* ``hedge``: failover from agents that do not respond.
+* ``outliers``: detection of slow agents.
+* ``rebalance``: withdrawal of waiting attempts while other slots are free.
+* ``flights``: attempts in flight.
+* ``refusals``: the classification of refusals.
+* ``returns``: resending a returned request, or its final response.
+* ``retries``: backoff and retry budget of returned requests.
+* ``retry_budget``: limit of retries relative to first attempts.
+* ``backoff``, ``timers``: exponential backoff with jitter, and its timers.
 """
--- a/packages/daisypick_core/src/daisypick_core/routing/actions.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/actions.py
@@ -1,4 +1,4 @@
-"""What the dispatcher asks its driver to do."""
+"""Actions of the dispatcher that its driver carries out."""
 
 import typing
 
@@ -14,21 +14,21 @@
 
 
 class Withdraw(typing.NamedTuple):
-    """Ask the agent to bar the attempt, then report its answer."""
+    """Ask the agent to bar the attempt, then report its response."""
 
     attempt: attempt_message.Attempt
     agent: str
 
 
 class Cancel(typing.NamedTuple):
-    """Tell the agent that nobody waits for the attempt any more."""
+    """Cancel the attempt at the agent; its caller no longer waits."""
 
     attempt: attempt_message.Attempt
     agent: str
 
 
 class Fail(typing.NamedTuple):
-    """Give the caller its final answer: a failure."""
+    """Send the caller its final response: a failure."""
 
     request_id: str
     failure: failure_value.Failure
--- a/packages/daisypick_core/src/daisypick_core/routing/affinity.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/affinity.py
@@ -1,4 +1,4 @@
-"""Which agents a prefix belongs to, by rendezvous hashing.
+"""The preferred agents of a prompt prefix, by rendezvous hashing.
 
 Examples:
     >>> ranking = PrefixRanking()
@@ -17,13 +17,13 @@
 
 import xxhash
 
-# Agents that a prefix is sent to before load alone decides.
+# Number of preferred agents of a prefix; beyond these only load decides.
 RANKED = 3
 _MOST_PREFIXES = 4096
 
 
 class PrefixRanking:
-    """The best agents of a prefix, remembered for the latest prefixes."""
+    """The preferred agents of prefixes, cached for the latest prefixes."""
 
     def __init__(self) -> None:
         self._addresses: tuple[str, ...] = ()
@@ -32,14 +32,14 @@
         )
 
     def set_addresses(self, addresses: Iterable[str]) -> None:
-        """Take the agents of a service."""
+        """Set the addresses of the agents of a service."""
         addresses = tuple(sorted(addresses))
         if addresses != self._addresses:
             self._addresses = addresses
             self._rank_by_prefix.clear()
 
     def rank(self, prefix: str) -> tuple[str, ...]:
-        """Return the addresses of a prefix, best first."""
+        """Return the preferred addresses of a prefix, best first."""
         ranked = self._rank_by_prefix.get(prefix)
         if ranked is None:
             ranked = tuple(
--- a/packages/daisypick_core/src/daisypick_core/routing/agents.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/agents.py
@@ -1,17 +1,18 @@
-"""What a router believes of each agent.
+"""A router's estimate of the state of each agent.
 
-It is soft state: learned from the load on every answer, roughly right, and
-thrown away when the agent's incarnation changes.
+It is soft state: updated by the load report in every response, approximate,
+and reset when the agent's incarnation changes.
 """
 
 import collections
 
 from daisypick_core.messages import load as load_message
 
-# Beyond this many waiting attempts a slot, one of an organisation is enough.
+# Above this number of waiting attempts per slot, only one attempt of each
+# organisation may wait.
 _CROWDED_PER_SLOT = 8
 _SMOOTHING = 0.2
-# A load that is older says nothing of free slots, seconds.
+# Age beyond which a load report does not indicate free slots, seconds.
 STALE_LOAD = 1.0
 
 
@@ -22,24 +23,24 @@
         address: ``host:port`` of the agent.
         service: Name of the service behind it.
         data_centre: Name of its data centre.
-        is_in: Whether its data centre takes work.
-        load: The load last heard, ``None`` before the first answer.
+        is_in: Whether its data centre is in service.
+        load: The last load report, ``None`` before the first response.
         waiting_by_organisation: Attempts of this router that were sent and
             have not started, by organisation.
-        blocked_until_by_organisation: Time before which nothing of an
-            organisation is sent, since its queue there was full.
-        sent_since_load: Attempts sent since the load was heard.
-        suspended_until: Time before which nothing is sent.
-        failures: Failures since the last good answer.
-        drains: Times it was found draining since it last was not.
+        blocked_until_by_organisation: Time before which no attempt of an
+            organisation is sent, because its queue there was full.
+        sent_since_load: Attempts sent since the last load report.
+        suspended_until: Time before which no attempt is sent.
+        failures: Consecutive failures since the last successful response.
+        drains: Consecutive probes that found it draining.
         first_token: Moving average of the time to first token, seconds,
-            ``None`` before the first.
-        first_token_samples: How many times are in it.
-        slow_until: Time until which it is set aside as slow.
-        times_slow: How often it was, without a break.
-        heard_at: Time of the load, seconds.
-        is_stale: Whether the load is too old to say what is free.
-        has_stale_timer: Whether a timer will look at the load's age.
+            ``None`` before the first sample.
+        first_token_samples: Number of samples in the average.
+        slow_until: Time until which it is ejected as slow.
+        times_slow: Number of consecutive ejections.
+        heard_at: Time of the last load report, seconds.
+        is_stale: Whether the load report is too old to indicate free slots.
+        has_stale_timer: Whether a timer to check its age is set.
     """
 
     def __init__(
@@ -72,7 +73,7 @@
         self.has_stale_timer = False
 
     def hear(self, load: load_message.Load, now: float) -> None:
-        """Take the load of an answer."""
+        """Record the load report of a response."""
         if self.load and self.load.incarnation != load.incarnation:
             self.suspended_until = 0.0
             self.failures = 0
@@ -85,51 +86,51 @@
             self.drains = 0
 
     def forget(self) -> None:
-        """Take the agent as one that was never heard of."""
+        """Reset the agent to the state of an unknown agent."""
         self.load = None
         self.sent_since_load = 0
 
     def sent(self, organisation: str) -> None:
-        """Note an attempt on its way."""
+        """Record that an attempt was sent."""
         self.waiting_by_organisation[organisation] += 1
         self.sent_since_load += 1
 
     def left_queue(self, organisation: str) -> None:
-        """Note that an attempt started or came back."""
+        """Record that an attempt started or was returned."""
         self.waiting_by_organisation[organisation] -= 1
         if self.waiting_by_organisation[organisation] <= 0:
             del self.waiting_by_organisation[organisation]
 
     def came_back(self) -> None:
-        """Note an attempt that the load last heard does not count."""
+        """Record a returned attempt, which the last load report may omit."""
         self.sent_since_load = max(0, self.sent_since_load - 1)
 
     def note_first_token(self, seconds: float) -> None:
-        """Take a time to first token, seconds."""
+        """Record a time to first token, seconds."""
         if self.first_token is None:
             self.first_token = seconds
         self.first_token += _SMOOTHING * (seconds - self.first_token)
         self.first_token_samples += 1
 
     def forget_first_tokens(self) -> None:
-        """Judge the agent's speed anew."""
+        """Reset the average time to first token."""
         self.first_token = None
         self.first_token_samples = 0
 
     def may_be_free(self) -> bool:
-        """Tell whether a slot is free, or the load too old to deny it."""
+        """Return whether a slot is free or the load report is stale."""
         return self.free > 0 or (self.is_stale and not self.sent_since_load)
 
     def is_usable(self, now: float) -> bool:
-        """Tell whether attempts may be sent at all."""
+        """Return whether attempts may be sent to the agent."""
         return (
             self.is_in and not self.is_draining and self.suspended_until <= now
         )
 
     def has_room(self, organisation: str, window: int, now: float) -> bool:
-        """Tell whether one more attempt may wait there."""
+        """Return whether one more attempt may wait at the agent."""
         if self.load is None:
-            # Its incarnation is not known: the first answer has to tell it.
+            # Its incarnation is unknown until the first response.
             return False
         waiting = self.waiting_by_organisation.get(organisation, 0)
         if self.blocked_until_by_organisation.get(organisation, 0.0) > now:
@@ -140,14 +141,14 @@
 
     @property
     def free(self) -> int:
-        """Slots believed to be free."""
+        """Estimated number of free slots."""
         if self.load is None:
             return 1 - min(1, self.sent_since_load)
         return max(0, self.load.free - self.sent_since_load)
 
     @property
     def pressure(self) -> float:
-        """Attempts believed to run or wait there, a slot."""
+        """Estimated number of running and waiting attempts per slot."""
         if self.load is None:
             return 0.0 if self.free else 1.0
         taken = self.load.running + self.load.waiting + self.sent_since_load
@@ -155,7 +156,7 @@
 
     @property
     def is_crowded(self) -> bool:
-        """Whether many attempts wait there for each slot."""
+        """Whether many attempts per slot wait at the agent."""
         if self.load is None:
             return False
         waiting = self.load.waiting + self.sent_since_load
@@ -163,5 +164,5 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether the agent last said that nothing starts."""
+        """Whether the agent last reported that it is draining."""
         return self.load is not None and self.load.is_draining
--- a/packages/daisypick_core/src/daisypick_core/routing/allowance.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/allowance.py
@@ -1,10 +1,11 @@
 """How many attempts of one organisation a router lets wait at agents.
 
-Presence at many agents lets their gates choose fairly; too much of it fills
-their queues, and each refusal is a wasted attempt. Nobody knows how many
-other routers hold work for the organisation, so the number is found as a
-sender finds its congestion window: it doubles until the first refusal, is
-halved by one, and then grows by one for each round that went well.
+With attempts waiting at many agents, the agents' gates can schedule fairly;
+too many fill the agents' queues, and each refusal is a wasted attempt. The
+number of other routers with work of the organisation is unknown, so the limit
+is found like a TCP congestion window: it doubles per round until the first
+refusal (slow start), is halved by a refusal, and then grows by one per round
+without a refusal.
 
 Examples:
     >>> allowance = Allowance()
@@ -27,8 +28,8 @@
 _INITIAL = 16.0
 _LEAST = 1.0
 _MOST = 10_000.0
-# Refusals closer together than this are one event: they answer attempts
-# that were on their way when the first came back.
+# Refusals within this time, seconds, count as one event: they concern attempts
+# that were in flight when the first refusal arrived.
 _ROUND = 0.25
 
 
@@ -42,16 +43,16 @@
 
     @property
     def value(self) -> int:
-        """Attempts that may wait at agents."""
+        """Number of attempts that may wait at agents."""
         return int(self._value)
 
     def started(self) -> None:
-        """Note that an attempt left an agent's queue and runs."""
+        """Record that an attempt left an agent's queue and runs."""
         step = 1.0 if self._is_probing else 1.0 / self._value
         self._value = min(_MOST, self._value + step)
 
     def refused(self, now: float) -> None:
-        """Note that an agent's queue was full."""
+        """Record that an agent's queue was full."""
         if now < self._refused_at + _ROUND:
             return
         self._refused_at = now
--- a/packages/daisypick_core/src/daisypick_core/routing/backlog.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/backlog.py
@@ -1,8 +1,9 @@
-"""The bounds that a flood meets at the router.
+"""The queue limits of the router under overload.
 
-Each organisation has a bounded queue. When all of them together are full the
-newest request of the longest queue makes room for a shorter one, so that a
-few flooders cannot shut everybody else out.
+Each organisation has a bounded queue. When the total of all queues reaches
+its limit, the newest request of the longest queue is dropped in favour of a
+request for a shorter queue, so that a few organisations with a burst of
+traffic cannot block all others.
 """
 
 from collections.abc import Iterable
@@ -17,7 +18,7 @@
 
 
 class Dropped(typing.NamedTuple):
-    """A request that made room for another, and what it is told."""
+    """A request that was dropped in favour of another, and its failure."""
 
     job: request_value.Job
     failure: failure_value.Failure
@@ -32,7 +33,7 @@
         self._rate_by_organisation: dict[str, drain_rate.DrainRate] = {}
 
     def set_bounds(self, bound_by_organisation: Mapping[str, int]) -> None:
-        """Take the organisations' own bounds."""
+        """Set the queue limits of the organisations."""
         self._bound_by_organisation = bound_by_organisation
         for name in set(self._rate_by_organisation) - set(
             bound_by_organisation
@@ -40,7 +41,7 @@
             del self._rate_by_organisation[name]
 
     def left(self, organisation: str, now: float) -> None:
-        """Note that a request of an organisation has left its queue."""
+        """Record that a request of an organisation has left its queue."""
         rate = self._rate_by_organisation.get(organisation)
         if rate is None:
             rate = drain_rate.DrainRate()
@@ -52,7 +53,7 @@
         request: request_value.Request,
         services: Iterable[service_view.ServiceView],
     ) -> failure_value.Failure | Dropped | None:
-        """Return a refusal, or who makes room, or ``None`` if there is."""
+        """Return a refusal, a request to drop, or ``None`` if there is room."""
         organisation = request.organisation
         queued = [service.queues for service in services]
         own = sum(queues.size(organisation) for queues in queued)
--- a/packages/daisypick_core/src/daisypick_core/routing/backoff.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/backoff.py
@@ -1,7 +1,7 @@
-"""Pauses that grow with each failure and differ between routers.
+"""Exponential backoff with jitter.
 
-Hundreds of routers see the same agent fail at the same moment. Without
-jitter they all come back at the same moment too.
+Hundreds of routers see the same agent fail at the same time. Without jitter
+they would all retry at the same time as well.
 
 Examples:
     >>> import random
@@ -20,13 +20,13 @@
 def pause(
     failures: int, rng: random.Random, *, base: float, longest: float
 ) -> float:
-    """Return the seconds to wait after a number of failures before.
+    """Return the backoff after a number of earlier failures, seconds.
 
     Args:
         failures: Failures before this one, 0 for the first.
         rng: Source of the jitter.
         base: Mean of the first pause, seconds.
-        longest: Mean beyond which it does not grow, seconds.
+        longest: Upper limit of the mean, seconds.
     """
     mean = min(longest, base * 2.0 ** min(failures, 32))
     return mean * rng.uniform(_LEAST, _MOST)
--- a/packages/daisypick_core/src/daisypick_core/routing/directory.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/directory.py
@@ -1,8 +1,8 @@
 """The agents that a router knows, by address and by service.
 
-Agents are suspended after failures, each time for longer; while their data
-centre or VM is draining they are asked again now and then, since nobody
-promises to tell a router that they are back.
+Agents are suspended after failures, with exponential backoff. Agents that
+drain with their data centre or VM are probed periodically, since a router is
+not guaranteed to be notified when they accept work again.
 """
 
 from collections.abc import Iterable
@@ -26,7 +26,7 @@
 
 
 class Directory:
-    """Views of agents and services; one a router."""
+    """The agents and services that one router knows."""
 
     def __init__(
         self, *, window: int, rng: random.Random, clock: timers.Timers
@@ -38,7 +38,7 @@
         self._service_by_name: dict[str, service_view.ServiceView] = {}
 
     def service(self, name: str) -> service_view.ServiceView:
-        """Return the view of a service, made at first use."""
+        """Return the view of a service, created at first use."""
         service = self._service_by_name.get(name)
         if service is None:
             service = service_view.ServiceView(window=self._window)
@@ -56,7 +56,7 @@
     def set_agents(
         self, addresses: Iterable[request_value.AgentAddress], now: float
     ) -> list[str]:
-        """Take the agents of a configuration; return who left or went out."""
+        """Set the configured agents; return those removed or out of service."""
         entries = {entry.address: entry for entry in addresses}
         gone = [
             address
@@ -76,7 +76,7 @@
         load: load_message.Load,
         now: float,
     ) -> None:
-        """Take an agent's load."""
+        """Record the load report of an agent."""
         was_draining = view.is_draining
         view.hear(load, now)
         if load.is_draining and not was_draining:
@@ -89,7 +89,7 @@
     def age_load(
         self, address: str, now: float
     ) -> service_view.ServiceView | None:
-        """Mark a load as stale if it is; return the service then."""
+        """Mark a load report as stale if it is; return the service if so."""
         view = self._view_by_address.get(address)
         if view is None:
             return None
@@ -108,7 +108,7 @@
         )
 
     def refresh(self, view: agents_view.AgentView, now: float) -> None:
-        """Put an agent into the sets that it belongs to now."""
+        """Update the sets of the service that the agent belongs to."""
         self.service(view.service).refresh(view, now)
 
     def wake(self, address: str, now: float) -> service_view.ServiceView | None:
@@ -124,7 +124,7 @@
     def wake_room(
         self, timer: timers.WakeRoom, now: float
     ) -> service_view.ServiceView | None:
-        """End the block of an organisation at an agent."""
+        """End the block of an organisation at an agent; return the service."""
         view = self._view_by_address.get(timer.address)
         if view is None:
             return None
@@ -142,7 +142,7 @@
         refusal: failure_value.Failure,
         now: float,
     ) -> None:
-        """Draw from a refusal what it says of the agent."""
+        """Update the state of an agent from its refusal."""
         number = refusal.code.number
         if number == codes.AGENT_QUEUE_FULL.number:
             self._block(view, organisation, refusal.retry_after, now)
@@ -165,12 +165,12 @@
         refusal: failure_value.Failure,
         now: float,
     ) -> None:
-        """Suspend an agent that failed, longer each time.
+        """Suspend an agent that failed, with exponential backoff.
 
-        One restart loses all attempts that are out at the agent. Counted one
-        by one they suspended it for many seconds, though its next start was
-        ready at once; what fails during a suspension was sent before it and
-        says nothing new.
+        One restart loses all attempts in flight at the agent. Counted one by
+        one they would suspend it for many seconds although it accepts work
+        again right after the restart. Failures during a suspension are
+        therefore ignored: those attempts were sent before it.
         """
         if view.suspended_until > now:
             return
@@ -187,7 +187,7 @@
     def note_first_token(
         self, view: agents_view.AgentView, seconds: float, now: float
     ) -> None:
-        """Take a time to first token; set a slow agent aside."""
+        """Record a time to first token; eject an agent that is slow."""
         service = self.service(view.service)
         service.typical_first_token.learn(seconds)
         view.note_first_token(seconds)
@@ -252,7 +252,7 @@
         entry: request_value.AgentAddress | None,
         now: float,
     ) -> bool:
-        """Update a known agent; return whether it still takes work."""
+        """Update a known agent; return whether it still receives work."""
         if entry is None or entry.service != view.service:
             self.service(view.service).remove(view)
             del self._view_by_address[view.address]
@@ -261,8 +261,8 @@
         view.is_in = entry.is_in
         view.data_centre = entry.data_centre
         if view.is_in and not was_in:
-            # What was heard before the data centre went out says nothing of
-            # a server that returns; the first answer tells.
+            # The state recorded before the data centre went out of service
+            # is obsolete; the first response provides the new state.
             view.forget()
             view.suspended_until = 0.0
             view.drains = 0
--- a/packages/daisypick_core/src/daisypick_core/routing/dispatcher.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/dispatcher.py
@@ -1,17 +1,17 @@
-"""The router's core: what waits, where it is sent, what is retried.
+"""The router's core: queueing, load balancing and retries.
 
-Requests wait in a bounded queue an organisation. The dispatcher sends to each
-agent no more than it has free slots for, and beyond those no more than
-``window`` waiting attempts an organisation and agent, so that the choice of
-who goes next stays with the gates. What a gate gives back as "not run" goes
-to the front of its queue and elsewhere; what waits at a busy agent while
-another has free slots is taken back.
+Each organisation has a bounded queue of requests. The dispatcher sends to each
+agent attempts for its free slots, and beyond those at most ``window`` waiting
+attempts per organisation and agent, so that the agents' gates decide on the
+order. A request that a gate returns as "not run" goes to the front of its
+queue and to another agent; an attempt that waits at a busy agent while another
+one has free slots is withdrawn.
 
 Every event takes ``now`` (seconds, any monotonic clock) and returns actions.
 
 See Also:
-    ``daisypick_core.routing.service_view``: how the next agent is found.
-    ``daisypick_core.routing.refusals``: what becomes of a refusal.
+    ``daisypick_core.routing.service_view``: the selection of the next agent.
+    ``daisypick_core.routing.refusals``: the classification of refusals.
 """
 
 import random
@@ -41,7 +41,7 @@
 
 
 class Dispatcher:
-    """Sends requests to agents and decides on their retries."""
+    """Sends requests to agents and decides on retries."""
 
     def __init__(
         self,
@@ -80,10 +80,11 @@
     def set_agents(
         self, addresses: typing.Iterable[AgentAddress], now: float
     ) -> list[actions.Action]:
-        """Take the agents of a new configuration.
+        """Set the agents of a new configuration.
 
-        What waits at an agent that left or went out is taken back, so that
-        it moves also when the agent has not heard of the change yet.
+        Attempts that wait at an agent that was removed or is out of service
+        are withdrawn, so that they move even if the agent does not know of the
+        change yet.
         """
         gone = set(self._directory.set_agents(addresses, now))
         due: list[actions.Action] = []
@@ -96,27 +97,27 @@
     def set_queue_bounds(
         self, bound_by_organisation: typing.Mapping[str, int]
     ) -> None:
-        """Take the organisations' own bounds (``max_queued``)."""
+        """Set the queue limits of the organisations (``max_queued``)."""
         self._bounds.set_bounds(bound_by_organisation)
 
     def close(self) -> None:
-        """Refuse new requests; those it holds are finished."""
+        """Refuse new requests; accepted requests are completed."""
         self._closed = failure_value.Failure(
             code=codes.DRAINING, reason="router is shutting down"
         )
 
     @property
     def is_ready(self) -> bool:
-        """Whether the router takes new requests."""
+        """Whether the router accepts new requests."""
         return self._closed is None
 
     @property
     def is_idle(self) -> bool:
-        """Whether the router holds no request, so that it may exit."""
+        """Whether the router has no open request and may exit."""
         return not self.queued_count and not self.in_flight_count
 
     def submit(self, request: Request, now: float) -> list[actions.Action]:
-        """Take a caller's request."""
+        """Accept a request of a caller, or refuse it."""
         due = self._returns.run_timers(now)
         job = request_value.Job(request=request)
         verdict = self._closed or self._bounds.check(
@@ -136,7 +137,7 @@
     def hear(
         self, agent: str, load: load_message.Load, now: float
     ) -> list[actions.Action]:
-        """Take an agent's load."""
+        """Record the load report of an agent."""
         due = self._returns.run_timers(now)
         view = self._directory.find(agent)
         if view is None:
@@ -151,7 +152,7 @@
     def hinted(
         self, attempt_id: str, agent: str, load: load_message.Load, now: float
     ) -> list[actions.Action]:
-        """Take word that an attempt waits while another agent is idle."""
+        """Process a hint that an attempt waits while another agent is idle."""
         due = self.hear(agent, load, now)
         flight = self._sender.flights.find(attempt_id)
         view = self._directory.find(agent)
@@ -163,7 +164,7 @@
         return due
 
     def started(self, attempt_id: str, now: float) -> list[actions.Action]:
-        """Note that an attempt has left the agent's queue and runs."""
+        """Record that an attempt has left the agent's queue and runs."""
         due = self._returns.run_timers(now)
         flight = self._sender.flights.find(attempt_id)
         if flight is None or flight.started_at is not None:
@@ -177,12 +178,12 @@
         return due + self._sender.send_organisation(service, organisation, now)
 
     def first_token(self, attempt_id: str, now: float) -> None:
-        """Note the first token of an answer, for the choice of agents."""
+        """Record the first token of a response, for outlier detection."""
         flight = self._sender.flights.find(attempt_id)
         if flight is None or flight.started_at is None:
             return
         if not flight.attempt.is_stream:
-            # The first byte of a whole answer comes with its last.
+            # A response that is not streamed has no separate first token.
             return
         view = self._directory.find(flight.agent)
         if view is not None:
@@ -192,7 +193,7 @@
     def returned(
         self, attempt_id: str, refusal: failure_value.Failure, now: float
     ) -> list[actions.Action]:
-        """Note that an attempt came back and never ran."""
+        """Process a refusal of an attempt that never ran."""
         due = self._returns.run_timers(now)
         flight = self._sender.land(attempt_id, now)
         if flight is None:
@@ -219,14 +220,14 @@
         *,
         is_answered: bool = False,
     ) -> list[actions.Action]:
-        """Note that an attempt may have run and has no answer.
+        """Process the failure of an attempt that may have run.
 
         Args:
             attempt_id: The attempt.
-            refusal: What is known of it.
+            refusal: The failure.
             now: Seconds.
-            is_answered: Whether the agent itself said so; otherwise its
-                answer was lost.
+            is_answered: Whether the agent itself reported the failure;
+                otherwise its response was lost.
         """
         due = self._returns.run_timers(now)
         flight = self._sender.land(attempt_id, now)
@@ -245,7 +246,7 @@
         return due + self._returns.send_like(job.request, now)
 
     def finished(self, attempt_id: str, now: float) -> list[actions.Action]:
-        """Note that an attempt's whole answer has arrived."""
+        """Record that the complete response of an attempt has arrived."""
         due = self._returns.run_timers(now)
         flight = self._sender.land(attempt_id, now)
         if flight is None:
@@ -256,7 +257,7 @@
         return due + self._returns.send_like(flight.job.request, now)
 
     def cancel(self, request_id: str, now: float) -> list[actions.Action]:
-        """Forget a request whose caller has gone."""
+        """Drop a request whose caller has disconnected."""
         due = self._returns.run_timers(now)
         flight = self._sender.flights.find_request(request_id)
         if flight is not None:
@@ -271,7 +272,7 @@
         return due
 
     def tick(self, now: float) -> list[actions.Action]:
-        """Fail what waited past its deadline, send what can be sent."""
+        """Fail requests past their deadlines and send what can be sent."""
         due = self._returns.run_timers(now)
         self._retries.budget.trickle(now)
         for service in self._directory.services():
@@ -282,7 +283,7 @@
         return due
 
     def next_wake(self) -> float | None:
-        """Return the time at which ``tick`` has something to do."""
+        """Return the time at which ``tick`` must be called next."""
         times = [
             service.queues.next_deadline()
             for service in self._directory.services()
@@ -292,13 +293,13 @@
 
     @property
     def queued_count(self) -> int:
-        """Requests that wait at the router."""
+        """Number of requests that wait at the router."""
         queued = sum(len(s.queues) for s in self._directory.services())
         return queued + len(self._retries)
 
     @property
     def in_flight_count(self) -> int:
-        """Requests that are out at agents."""
+        """Number of requests in flight at agents."""
         return len(self._sender.flights)
 
 
@@ -308,12 +309,12 @@
     *,
     is_answered: bool,
 ) -> bool:
-    """Tell whether a broken attempt says that the agent is in trouble.
+    """Return whether a failed attempt counts as a failure of the agent.
 
-    An agent that is taken for failing idles while the work of all others
-    waits. Two kinds of failure are none of its own: the verdict on a key
-    whose outcome is unknown, which a caller hears each time it asks
-    again, and what its predecessor lost in a restart.
+    A suspended agent is idle while the requests of all organisations wait. Two
+    kinds of failure are not due to the agent: the response for an idempotency
+    key whose outcome is unknown, which is repeated on each retry of the caller,
+    and the loss of attempts of an earlier incarnation in a restart.
     """
     if is_answered and not flight.job.request.is_repeatable:
         return False
--- a/packages/daisypick_core/src/daisypick_core/routing/flights.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/flights.py
@@ -1,20 +1,20 @@
-"""Attempts that are out at agents."""
+"""Attempts in flight at agents."""
 
 from daisypick_core.messages import attempt as attempt_message
 from daisypick_core.routing import request as request_value
 
 
 class Flight:
-    """A request's attempt that is out at an agent.
+    """An attempt of a request in flight at an agent.
 
     Attributes:
         job: The request.
         attempt: The attempt.
         agent: Address of the agent.
         sent_at: Time at which it was sent, seconds.
-        started_at: Time at which it left the agent's queue, if it has.
-        is_withdrawing: Whether the router is taking it back.
-        withdrawn_at: Time at which it last asked for it, seconds.
+        started_at: Time at which it left the agent's queue, ``None`` before.
+        is_withdrawing: Whether a withdrawal is in progress.
+        withdrawn_at: Time of the last withdrawal request, seconds.
     """
 
     __slots__ = (
@@ -45,7 +45,7 @@
 
 
 class FlightTable:
-    """Flights by attempt and by request; a request has one at most."""
+    """Attempts in flight by id and by request, at most one per request."""
 
     def __init__(self) -> None:
         self._flight_by_attempt: dict[str, Flight] = {}
@@ -55,24 +55,24 @@
         return len(self._flight_by_attempt)
 
     def add(self, flight: Flight) -> None:
-        """Note an attempt on its way."""
+        """Add an attempt that was sent."""
         self._flight_by_attempt[flight.attempt.attempt_id] = flight
         self._flight_by_request[flight.attempt.request_id] = flight
 
     def find(self, attempt_id: str) -> Flight | None:
-        """Return the flight of an attempt."""
+        """Return an attempt in flight by its id."""
         return self._flight_by_attempt.get(attempt_id)
 
     def all(self) -> list[Flight]:
-        """Return all flights, oldest first."""
+        """Return all attempts in flight, oldest first."""
         return list(self._flight_by_attempt.values())
 
     def find_request(self, request_id: str) -> Flight | None:
-        """Return the flight of a request."""
+        """Return the attempt in flight of a request."""
         return self._flight_by_request.get(request_id)
 
     def land(self, attempt_id: str) -> Flight | None:
-        """Take a flight out, ``None`` if it is not known (any more)."""
+        """Remove and return an attempt, ``None`` if it is unknown."""
         flight = self._flight_by_attempt.pop(attempt_id, None)
         if flight is not None:
             del self._flight_by_request[flight.attempt.request_id]
--- a/packages/daisypick_core/src/daisypick_core/routing/hedge.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/hedge.py
@@ -1,11 +1,11 @@
-"""Giving up on agents that do not answer.
-
-An agent that hangs, or that the network has lost, keeps what waits there: the
-router asks for it back and hears nothing. A request that may be repeated goes
-elsewhere after a moment, and the silent agent is told to cancel its attempt in
-case it still hears. It costs a retry of the budget, so that a region that is
-cut off does not double the load of the others. A request that may not be
-repeated stays where it is until its connection tells.
+"""Failover from agents that do not respond.
+
+An agent that hangs or is unreachable does not respond to the withdrawal of
+waiting attempts. After ``HEDGE_AFTER`` a repeatable request is sent to another
+agent, and a cancellation is sent to the unresponsive one in case it still
+receives messages. This spends from the retry budget, so that a network
+partition of one region does not double the load of the others. A request that
+must not be repeated stays until its connection ends.
 """
 
 import itertools
@@ -14,7 +14,7 @@
 from daisypick_core.routing import retry_budget
 from daisypick_core.routing import service_view
 
-# Seconds without an answer to a withdrawal.
+# Time without a response to a withdrawal, seconds.
 HEDGE_AFTER = 1.0
 _FLIGHTS_LOOKED_AT = 64
 
@@ -24,7 +24,7 @@
     budget: retry_budget.RetryBudget,
     now: float,
 ) -> list[flights.Flight]:
-    """Return flights to give up, each paid for from the budget."""
+    """Return attempts to fail over, each charged to the retry budget."""
     silent = []
     for flight in itertools.islice(
         service.waiting.values(), _FLIGHTS_LOOKED_AT
--- a/packages/daisypick_core/src/daisypick_core/routing/outliers.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/outliers.py
@@ -1,9 +1,9 @@
-"""Which agents are slow compared with the others of their service.
+"""Detection and ejection of agents that are slow for their service.
 
-A slow server keeps its slots busy for longer, looks less loaded than it is,
-and spoils the high percentiles of everybody whose request lands there. It is
-set aside: used only when no other agent has a free slot, since a slow slot is
-better than none. After a while it is tried again, later each time.
+A slow server occupies its slots for longer, appears less loaded than it is,
+and increases the tail latency of all requests sent to it. Its agent is
+ejected: it is used only when no other agent has a free slot, since a slow slot
+is better than none. The ejection is limited in time, with exponential backoff.
 
 Examples:
     >>> typical = TypicalFirstToken()
@@ -16,7 +16,7 @@
 """
 
 SLOW_FACTOR = 3.0
-# Times to first token of an agent before it can be told to be slow.
+# Minimum number of samples of an agent before it can be ejected.
 LEAST_SAMPLES = 4
 SET_ASIDE = 10.0
 LONGEST_SET_ASIDE = 120.0
@@ -33,7 +33,7 @@
         self._samples = 0
 
     def learn(self, seconds: float) -> None:
-        """Take a time into the estimate."""
+        """Add a sample to the estimate."""
         self._samples += 1
         if self._median is None:
             self._median = max(0.001, seconds)
@@ -43,7 +43,7 @@
             self._median /= 1.0 + _STEP
 
     def is_outlier(self, seconds: float) -> bool:
-        """Tell whether an agent with this mean is slow."""
+        """Return whether an agent with this average is slow."""
         if self._median is None or self._samples < _LEAST_KNOWN:
             return False
         return seconds > SLOW_FACTOR * self._median + _NOISE
--- a/packages/daisypick_core/src/daisypick_core/routing/pick.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/pick.py
@@ -1,15 +1,15 @@
 """The registered policies that choose an agent for an attempt.
 
-A policy gets the agents that may be sent to and returns one of them. A new
-policy is a new function under ``@register``.
-
-``prefix_affinity`` brings prompts with the same prefix to the same few
-servers, whose limited caches then hold it. Which ones is computed, not
-learned: each router ranks the agents of the service by a hash of prefix and
-address (rendezvous hashing), so all routers agree without a word, and an
-agent that leaves moves its own prefixes only. Cache events of the engines come
-late and with gaps; nothing here needs them. Load goes first: a preferred
-agent is taken only if it has, or may well have, a free slot.
+A policy receives the eligible agents and returns one of them. To add a
+policy, decorate a function with ``@register``.
+
+``prefix_affinity`` sends prompts with the same prefix to the same few servers,
+so that their limited KV caches hold it. The servers are computed, not learned:
+each router ranks the agents of the service by a hash of prefix and address
+(rendezvous hashing). All routers agree without communication, and the removal
+of an agent moves only its own prefixes. Cache events of the engines are not
+used, since they arrive late and incompletely. Load takes precedence: a
+preferred agent is chosen only if it has, or may have, a free slot.
 """
 
 from collections.abc import Callable
@@ -21,12 +21,12 @@
 
 
 class Choice(typing.NamedTuple):
-    """What a policy chooses from.
+    """The options of a policy.
 
     Attributes:
-        candidates: Agents that may be sent to; at least one.
-        preferred: Returns the agents that are preferred for the request's
-            prefix and may have a free slot, best first; perhaps none.
+        candidates: Eligible agents, at least one.
+        preferred: Returns the preferred agents of the request's prefix that
+            may have a free slot, best first; may be empty.
     """
 
     candidates: Sequence[agents_view.AgentView]
@@ -50,7 +50,7 @@
 
 @register("random")
 def pick_random(choice: Choice, rng: random.Random) -> agents_view.AgentView:
-    """Return any candidate."""
+    """Return a random candidate."""
     return rng.choice(choice.candidates)
 
 
@@ -58,7 +58,7 @@
 def pick_least_of_two(
     choice: Choice, rng: random.Random
 ) -> agents_view.AgentView:
-    """Return the one of two random candidates with less work a slot."""
+    """Return the one of two random candidates with less load per slot."""
     first = rng.choice(choice.candidates)
     second = rng.choice(choice.candidates)
     return second if second.pressure < first.pressure else first
--- a/packages/daisypick_core/src/daisypick_core/routing/rebalance.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/rebalance.py
@@ -1,10 +1,11 @@
-"""Taking back what waits at busy agents while others have free slots.
+"""Withdrawal of attempts that wait at busy agents while others have free slots.
 
-A router with an empty queue may still have attempts that wait behind others'
-at some agent. When another agent is believed free, the oldest of them are
-withdrawn; the agent's answer decides whether they had started already. Each
-request is moved in this way a few times at most, and only after it has waited
-for longer than an answer takes, so that stale loads cannot make it circle.
+A router with an empty queue may still have attempts that wait behind those of
+other routers at an agent. When another agent is estimated to be free, the
+oldest of them are withdrawn; the response of the agent tells whether they have
+started already. Each request is moved a few times at most, and only after it
+has waited for longer than a response takes, so that stale load reports cannot
+move it repeatedly.
 """
 
 import itertools
@@ -25,7 +26,7 @@
     known: directory.Directory,
     now: float,
 ) -> list[actions.Action]:
-    """Return withdrawals for the slots that nothing queued can fill."""
+    """Return withdrawals to fill free slots when no request is queued."""
     if not len(service.free) or not service.waiting or len(service.queues):
         return []
     looked_at = itertools.islice(service.free.items, _AGENTS_LOOKED_AT)
@@ -44,7 +45,7 @@
 def withdraw(
     service: service_view.ServiceView, flight: flights.Flight, now: float
 ) -> actions.Withdraw:
-    """Start to take a waiting attempt back."""
+    """Begin the withdrawal of a waiting attempt."""
     flight.is_withdrawing = True
     flight.withdrawn_at = now
     flight.job.withdrawals += 1
@@ -53,7 +54,7 @@
 
 
 def may_withdraw(flight: flights.Flight) -> bool:
-    """Tell whether a flight waits and was not moved too often."""
+    """Return whether an attempt waits and was not moved too often."""
     if flight.started_at is not None or flight.is_withdrawing:
         return False
     return flight.job.withdrawals < _MOST_WITHDRAWALS
--- a/packages/daisypick_core/src/daisypick_core/routing/refusals.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/refusals.py
@@ -1,10 +1,11 @@
-"""What a router makes of an agent's refusal.
+"""Classification of the refusals of agents.
 
-* ``FINAL``: the refusal is the request's answer.
-* ``MOVES``: the agent takes nothing now, which is no fault of the request;
-  it goes elsewhere and costs no retry.
-* ``NO_RETRY``: another run would end the same way.
-* Everything else is a failure of the agent or its backend server: a retry.
+* ``FINAL``: the refusal is the final response to the request.
+* ``MOVES``: the agent currently accepts no work, independently of the request;
+  the request is sent to another agent without spending a retry.
+* ``NO_RETRY``: another attempt would fail in the same way.
+* All other refusals are failures of the agent or its backend server; the
+  request is retried.
 """
 
 from daisypick_core.results import codes
@@ -37,11 +38,11 @@
 def as_answer(
     job: request_value.Job, refusal: failure_value.Failure
 ) -> failure_value.Failure:
-    """Return what the caller may truly be told about a job.
+    """Return the failure that is true for all attempts of a job.
 
-    An attempt that broke off may have run. A later one that is refused as
-    "not run" speaks for itself only: told to the caller as it is, it would
-    deny a run that may have happened.
+    An attempt that broke off may have run. The refusal of a later attempt as
+    "not run" applies to that attempt only: reported to the caller unchanged,
+    it would deny that an earlier attempt may have run.
     """
     if not job.may_have_run or refusal.ran == codes.RAN_UNKNOWN:
         return refusal
--- a/packages/daisypick_core/src/daisypick_core/routing/request.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/request.py
@@ -1,4 +1,4 @@
-"""What a router knows of a request, and of the agents that can take it."""
+"""Requests, queue limits and agent addresses as the dispatcher sees them."""
 
 import typing
 
@@ -8,15 +8,15 @@
 
     Attributes:
         request_id: Unique id.
-        organisation: Name of the organisation that pays.
+        organisation: Name of the organisation that is charged.
         service: Name of the service.
         estimate: Expected cost, tokens.
         deadline: Time by which it must have started.
-        is_repeatable: Whether a second run does no harm.
+        is_repeatable: Whether the request may run more than once.
         idempotency_key: The caller's key, if any.
         fingerprint: Hash of method, path and body.
         prefix: Hash of the prompt's prefix, ``""`` if none.
-        is_stream: Whether the answer streams.
+        is_stream: Whether the response is streamed.
     """
 
     request_id: str
@@ -32,13 +32,13 @@
 
 
 class DispatcherLimits(typing.NamedTuple):
-    """Bounds of the router's queues.
+    """Limits of the router's queues.
 
     Attributes:
-        queued_per_organisation: Requests of one organisation that wait,
-            unless ``Dispatcher.set_queue_bounds`` names another number.
-        queued_in_all: Requests that wait in all.
-        window: Attempts waiting at one agent, an organisation.
+        queued_per_organisation: Maximum number of waiting requests of one
+            organisation, unless set by ``Dispatcher.set_queue_bounds``.
+        queued_in_all: Maximum number of waiting requests in total.
+        window: Maximum number of waiting attempts per organisation and agent.
     """
 
     queued_per_organisation: int = 512
@@ -47,13 +47,13 @@
 
 
 class AgentAddress(typing.NamedTuple):
-    """Where the agent of a backend server listens.
+    """The address of the agent of a backend server.
 
     Attributes:
         address: ``host:port`` of the agent.
         service: Name of the service behind it.
         data_centre: Name of its data centre.
-        is_in: Whether its data centre takes work.
+        is_in: Whether its data centre is in service.
     """
 
     address: str
@@ -63,15 +63,15 @@
 
 
 class Job:
-    """A request on its way to an answer.
+    """A request in progress.
 
     Attributes:
         request: The request.
-        moves: Times it came back as "not run".
-        retries: Times an attempt of it failed.
-        withdrawals: Times the router took it back from an agent.
-        avoid: Agent that refused it last, ``""`` if none.
-        may_have_run: Whether an attempt of it broke off without an answer.
+        moves: Number of attempts returned as "not run".
+        retries: Number of attempts that were retried after a failure.
+        withdrawals: Number of withdrawals from an agent.
+        avoid: Agent that last refused or failed it, ``""`` if none.
+        may_have_run: Whether an attempt broke off without a response.
         needs_budget: Whether its next attempt spends from the retry budget.
     """
 
--- a/packages/daisypick_core/src/daisypick_core/routing/retries.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/retries.py
@@ -1,13 +1,14 @@
-"""When a request that came back goes out again.
+"""The retry policy for returned and failed requests.
 
-* What a gate gave back as "not run" because it takes nothing now moves on at
-  once and costs nothing: those moves are as many as the requests that waited
-  there. After a few of them the request pauses before each, so that one that
-  every agent gives back does not circle at the speed of the network.
-* A full queue and a failure cost a retry of the budget. Under overload the
-  budget is spent; then a request with a full queue behind it waits for the
-  budget, and one with a failure behind it gets its answer.
-* All of it ends at the request's deadline.
+* A request that a gate returned as "not run" because it accepts no work is
+  resent at once without spending a retry; the number of these moves is bounded
+  by the number of requests that waited there. After a few moves there is a
+  backoff before each, so that a request that every agent returns is not resent
+  at the speed of the network.
+* A full queue or a failure spends a retry from the budget. Under overload the
+  budget is exhausted; then a request refused by a full queue waits for the
+  budget, and a request that failed receives its final response.
+* Retries end at the deadline of the request.
 """
 
 import random
@@ -31,7 +32,7 @@
 
 
 class Retries:
-    """Requests in their backoff, and the budget that bounds retries."""
+    """Requests in backoff, and the budget that limits retries."""
 
     def __init__(
         self,
@@ -54,7 +55,7 @@
         refusal: failure_value.Failure,
         now: float,
     ) -> str:
-        """Decide on a job that came back "not run": one of the words above."""
+        """Return ``NOW``, ``PAUSED`` or ``SPENT`` for a job not run."""
         job.moves += 1
         is_full = refusal.code.number == codes.AGENT_QUEUE_FULL.number
         is_retry = refusal.code.number not in refusals.MOVES
@@ -70,9 +71,9 @@
     def broke(self, job: request_value.Job, now: float) -> str:
         """Decide on a job whose attempt broke off and may have run."""
         job.may_have_run = True
-        # A request that makes each engine fall would otherwise go round the
-        # fleet and spend everybody's budget; after a few runs the fault is
-        # its own.
+        # A request that crashes every engine would otherwise be retried across
+        # the fleet and exhaust the shared budget; after a few attempts the
+        # request itself is assumed to be the cause.
         if not job.request.is_repeatable or job.retries >= _MOST_RETRIES:
             return SPENT
         if not self.budget.try_spend():
@@ -82,7 +83,7 @@
         return PAUSED
 
     def release(self, request_id: str, now: float) -> request_value.Job | None:
-        """Return a job whose pause is over; ``None`` if it goes on."""
+        """Return a job whose backoff has ended; ``None`` if it is extended."""
         job = self._job_by_request.pop(request_id, None)
         if job is None or job.deadline <= now or not job.needs_budget:
             return job
@@ -94,7 +95,7 @@
         return job
 
     def forget(self, request_id: str) -> None:
-        """Drop a job whose caller has gone."""
+        """Drop a job whose caller has disconnected."""
         self._job_by_request.pop(request_id, None)
 
     def _pause(self, job: request_value.Job, failures: int, now: float) -> None:
--- a/packages/daisypick_core/src/daisypick_core/routing/retry_budget.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/retry_budget.py
@@ -1,9 +1,9 @@
-"""How many retries the health of the fleet allows.
+"""The retry budget of a router.
 
-Every first attempt earns a fraction of a retry; each retry spends a whole
-one. Under an overload that fails everything, attempts per request stay
-below ``1 + ratio``, so that retries cannot become a storm. A trickle by time
-lets a quiet router retry at all.
+Every first attempt adds a fraction of a retry; each retry spends one. Even in
+an overload in which all attempts fail, the number of attempts per request
+stays below ``1 + ratio``, which prevents a retry storm. A slow refill over
+time lets a router with little traffic retry as well.
 
 Examples:
     >>> budget = RetryBudget(ratio=0.5, burst=1.0)
@@ -32,18 +32,18 @@
         self._trickled_at: float | None = None
 
     def earn(self) -> None:
-        """Note a first attempt."""
+        """Record a first attempt."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
     def trickle(self, now: float) -> None:
-        """Earn what the time since the last call allows."""
+        """Refill the budget for the time since the last call."""
         if self._trickled_at is not None:
             earned = (now - self._trickled_at) * TRICKLE_PER_SECOND
             self._tokens = min(self._burst, self._tokens + max(0.0, earned))
         self._trickled_at = now
 
     def try_spend(self) -> bool:
-        """Take one retry if there is one."""
+        """Spend one retry if available; return whether it was."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/packages/daisypick_core/src/daisypick_core/routing/returns.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/returns.py
@@ -1,6 +1,6 @@
-"""What becomes of requests that came back or waited too long.
+"""Handling of requests that were returned or waited too long.
 
-They go out again at once or after a pause, or get their final answer.
+They are resent at once or after a backoff, or receive their final response.
 """
 
 from daisypick_core.results import codes
@@ -24,7 +24,7 @@
 
 
 class Returns:
-    """Sends requests out again, or answers them."""
+    """Resends returned requests, or gives them their final response."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._timers = clock
 
     def run_timers(self, now: float) -> list[actions.Action]:
-        """Wake agents and requests whose time has come."""
+        """Process the timers that are due."""
         due: list[actions.Action] = []
         for timer in self._timers.pop_due(now):
             if isinstance(timer, timers.WakeAgent):
@@ -69,7 +69,7 @@
         refusal: failure_value.Failure,
         now: float,
     ) -> list[actions.Action]:
-        """Send what came back "not run" elsewhere, now or after a pause."""
+        """Resend a request returned as "not run", now or after a backoff."""
         job = flight.job
         job.avoid = flight.agent
         verdict = self._retries.returned(job, refusal, now)
@@ -88,7 +88,7 @@
     def hedge(
         self, service: service_view.ServiceView, now: float
     ) -> list[actions.Action]:
-        """Send elsewhere what silent agents do not give back."""
+        """Fail over the attempts that unresponsive agents do not return."""
         due: list[actions.Action] = []
         for flight in hedge_module.find_silent(
             service, self._retries.budget, now
@@ -111,10 +111,10 @@
         refusal: failure_value.Failure,
         view: agents_view.AgentView | None,
     ) -> bool:
-        """Tell whether the agent takes work under its new address.
+        """Return whether the agent accepts the request on a resend.
 
-        The refusal brought the agent's incarnation and epoch along, so the
-        next attempt may go there at once.
+        A refusal as stale carries the current incarnation and epoch of the
+        agent, so that the next attempt may be sent to it at once.
         """
         if refusal.code not in (codes.STALE_INCARNATION, codes.STALE_EPOCH):
             return False
@@ -126,7 +126,7 @@
     def requeue(
         self, job: request_value.Job, now: float
     ) -> list[actions.Action]:
-        """Put a job before the others of its organisation and send."""
+        """Put a job at the front of its organisation's queue and send."""
         if job.deadline <= now:
             return [self.expire(job)]
         request = job.request
@@ -137,7 +137,7 @@
     def send_like(
         self, request: request_value.Request, now: float
     ) -> list[actions.Action]:
-        """Send requests of the same service and organisation."""
+        """Send queued requests of the same service and organisation."""
         service = self._directory.service(request.service)
         return self._sender.send_organisation(
             service, request.organisation, now
@@ -146,14 +146,14 @@
     def fail(
         self, job: request_value.Job, refusal: failure_value.Failure
     ) -> actions.Fail:
-        """Give a job its final answer."""
+        """Return the final response of a failed job."""
         return actions.Fail(
             request_id=job.request.request_id,
             failure=refusals.as_answer(job, refusal),
         )
 
     def expire(self, job: request_value.Job) -> actions.Fail:
-        """Give a job whose deadline has passed its final answer."""
+        """Return the final response of a job whose deadline has passed."""
         refusal = failure_value.Failure(
             code=codes.DEADLINE_PASSED,
             reason="waited past its deadline at the router",
--- a/packages/daisypick_core/src/daisypick_core/routing/sender.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/sender.py
@@ -1,8 +1,8 @@
-"""Sending: which queued request goes to which agent next.
+"""Sending: which queued request is sent to which agent next.
 
-The sender looks only at what an event has changed: one organisation after
-its attempt started, the free slots after a load was heard, everything after
-a change of configuration.
+The sender considers only what an event has changed: one organisation after
+its attempt started, the free slots after a load report, everything after a
+change of configuration.
 """
 
 import itertools
@@ -41,7 +41,7 @@
         self._ids = itertools.count(1)
 
     def send_all(self, now: float) -> list[actions.Action]:
-        """Send what can be sent, of all services."""
+        """Send requests of all services as far as possible."""
         due: list[actions.Action] = []
         for service in self._directory.services():
             due += self.send_service(service, now)
@@ -50,7 +50,7 @@
     def send_service(
         self, service: service_view.ServiceView, now: float
     ) -> list[actions.Action]:
-        """Send what the agents' windows allow, one an organisation a turn."""
+        """Send what the agents' windows allow, round-robin by organisation."""
         due: list[actions.Action] = []
         open_organisations = list(service.queues.keys())
         while open_organisations:
@@ -66,13 +66,13 @@
     def send_free(
         self, service: service_view.ServiceView, now: float
     ) -> list[actions.Action]:
-        """Fill free slots; take back what waits if some are left."""
+        """Fill free slots; withdraw waiting attempts if some are left."""
         return self.fill(service, now) + self._rebalance(service, now)
 
     def fill(
         self, service: service_view.ServiceView, now: float
     ) -> list[actions.Action]:
-        """Fill free slots only, one an organisation a turn."""
+        """Fill free slots only, round-robin by organisation."""
         due: list[actions.Action] = []
         while service.has_free() and len(service.queues):
             organisation = service.queues.next_key()
@@ -85,7 +85,7 @@
     def send_organisation(
         self, service: service_view.ServiceView, organisation: str, now: float
     ) -> list[actions.Action]:
-        """Send what the agents' windows allow to one organisation."""
+        """Send what the agents' windows allow of one organisation."""
         due: list[actions.Action] = []
         dispatch = self._send_one(service, organisation, now)
         while dispatch is not None:
@@ -158,7 +158,7 @@
     def leave_agent_queue(
         self, flight: flights.Flight, now: float
     ) -> service_view.ServiceView:
-        """Note that an attempt waits no more at its agent."""
+        """Record that an attempt no longer waits at its agent."""
         service = self._directory.service(flight.attempt.service)
         organisation = flight.attempt.organisation
         del service.waiting[flight.attempt.attempt_id]
@@ -173,7 +173,7 @@
         return service
 
     def land(self, attempt_id: str, now: float) -> flights.Flight | None:
-        """Take a flight out, ``None`` if it is not known (any more)."""
+        """Remove and return an attempt, ``None`` if it is unknown."""
         flight = self.flights.land(attempt_id)
         if flight is not None and flight.started_at is None:
             self.leave_agent_queue(flight, now)
--- a/packages/daisypick_core/src/daisypick_core/routing/service_view.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/service_view.py
@@ -1,14 +1,15 @@
-"""The agents of one service, kept so that a choice costs no scan.
-
-A router sees some 275 agents for each model and holds work of hundreds of
-organisations. Looking through all agents for each attempt would cost their
-product; instead each agent is put into or taken out of the sets below when
-what is believed of it changes.
-
-* ``usable``: may be sent to at all.
-* ``free``: usable, with slots believed to be free.
-* the room of an organisation: usable, where one more attempt may wait. It is
-  made when the organisation first needs it and dropped with its last request.
+"""The agents of one service, indexed for selection without a scan.
+
+A router has some 275 agents per model and requests of hundreds of
+organisations. A scan of all agents for each attempt would cost the product of
+both numbers; instead each agent is added to or removed from the sets below
+when its estimated state changes.
+
+* ``usable``: attempts may be sent to it.
+* ``free``: usable and estimated to have free slots.
+* the room of an organisation: usable, and one more attempt may wait there. It
+  is created when the organisation first needs it and dropped with its last
+  request.
 """
 
 import collections
@@ -29,11 +30,11 @@
 
 
 class Room(typing.NamedTuple):
-    """Where attempts of one organisation may wait.
+    """The agents at which attempts of one organisation may wait.
 
     Attributes:
         agents: Agents with room; some may have filled up since.
-        allowance: How many of its attempts may wait in all.
+        allowance: Limit of its attempts that may wait at all agents.
     """
 
     agents: indexed_set.IndexedSet[agents_view.AgentView]
@@ -44,16 +45,17 @@
     """One service as one router sees it.
 
     Attributes:
-        usable: Agents that may be sent to.
-        free: Those of them that were heard to have free slots.
-        slow: Those that would be in ``free`` but are set aside.
-        stale: Those whose load is too old to say whether a slot is free.
-        unknown: Those of them that were never heard of and may be asked.
+        usable: Agents to which attempts may be sent.
+        free: Usable agents with free slots by a recent load report.
+        slow: Usable agents with free slots that are ejected as slow.
+        stale: Usable agents whose load report is too old to indicate free
+            slots and that have not been probed since.
+        unknown: Usable agents without a load report that may be probed.
         queues: Requests that wait at the router, by organisation.
         waiting: Attempts that wait at agents, oldest first.
-        waiting_by_organisation: How many of them each organisation has.
-        withdrawing: How many of them the router is taking back.
-        typical_first_token: What is usual for the service.
+        waiting_by_organisation: Number of waiting attempts by organisation.
+        withdrawing: Number of waiting attempts that are being withdrawn.
+        typical_first_token: Median time to first token of the service.
     """
 
     def __init__(self, *, window: int) -> None:
@@ -89,7 +91,7 @@
         self._room_by_organisation: dict[str, Room] = {}
 
     def refresh(self, view: agents_view.AgentView, now: float) -> None:
-        """Put an agent into the sets that it belongs to now."""
+        """Update the sets that an agent belongs to."""
         is_usable = view.is_usable(now)
         self._view_by_address[view.address] = view
         is_free = is_usable and view.free > 0
@@ -108,13 +110,13 @@
     def refresh_room(
         self, view: agents_view.AgentView, organisation: str, now: float
     ) -> None:
-        """Note that the agent's room for an organisation has changed."""
+        """Update the agent in the room of an organisation."""
         room = self._room_by_organisation.get(organisation)
         if room is not None:
             self._refresh_room(room, view, organisation, now)
 
     def remove(self, view: agents_view.AgentView) -> None:
-        """Take an agent out for good."""
+        """Remove an agent."""
         self.usable.discard(view)
         self.free.discard(view)
         self.unknown.discard(view)
@@ -125,18 +127,18 @@
             room.agents.discard(view)
 
     def has_free(self) -> bool:
-        """Tell whether an agent is believed to have free slots."""
+        """Return whether some agent is estimated to have free slots."""
         agents = (self.free, self.stale, self.unknown, self.slow)
         return any(len(each) for each in agents)
 
     def rank_again(self) -> None:
-        """Note that agents have come or gone."""
+        """Update the prefix ranking after agents were added or removed."""
         self._ranking.set_addresses(self._view_by_address)
 
     def preferred(
         self, request: request_value.Request, now: float
     ) -> list[agents_view.AgentView]:
-        """Return agents for a request's prefix that may have a free slot."""
+        """Return preferred agents of a request that may have a free slot."""
         organisation = request.organisation
         if not request.prefix:
             return []
@@ -154,7 +156,7 @@
         ]
 
     def room(self, organisation: str, now: float) -> Room:
-        """Return where an organisation's attempts may wait."""
+        """Return the room of an organisation, created at first use."""
         room = self._room_by_organisation.get(organisation)
         if room is None:
             room = Room(
@@ -167,12 +169,12 @@
         return room
 
     def known_allowance(self, organisation: str) -> allowance.Allowance | None:
-        """Return the allowance of an organisation that has needed one."""
+        """Return the allowance of an organisation, ``None`` if it has none."""
         room = self._room_by_organisation.get(organisation)
         return None if room is None else room.allowance
 
     def drop_room(self, organisation: str) -> None:
-        """Forget the room of an organisation that has nothing here."""
+        """Drop the room of an organisation without waiting work."""
         if self.queues.size(organisation):
             return
         if not self.waiting_by_organisation.get(organisation):
@@ -185,19 +187,20 @@
         rng: random.Random,
         now: float,
     ) -> agents_view.AgentView | None:
-        """Return the agent for a job's next attempt, ``None`` if none."""
+        """Return the agent for the next attempt of a job, ``None`` if none."""
         organisation = job.request.organisation
         if len(self.free):
             return self._pick(self.free.items, job, policy, rng, now)
-        # A router hears from most agents once in many seconds. Taking their
-        # old loads at their word would send all work to those that happened
-        # to have a free slot then, and none to those that have one now.
+        # A router receives load reports from most agents only once in many
+        # seconds. If stale reports were trusted, all work would go to agents
+        # that had a free slot then, and none to agents that have one now.
         for _ in range(min(_TRIES, len(self.stale))):
             view = self._pick(self.stale.items, job, policy, rng, now)
             if view.has_room(organisation, self._window, now):
                 return view
-        # The incarnation of an unknown agent is not known, so that the first
-        # attempt comes back with it: worth it when nobody known is free.
+        # The incarnation of an unknown agent is not known, so the first attempt
+        # is refused and returns it. This is done only when no known agent is
+        # free.
         for agents in (self.unknown, self.slow):
             if len(agents):
                 return self._pick(agents.items, job, policy, rng, now)
@@ -233,7 +236,7 @@
         rng: random.Random,
         now: float,
     ) -> agents_view.AgentView:
-        """Apply a policy; do not go back to who has just refused the job."""
+        """Apply a policy, avoiding the agent that last refused the job."""
         choice = pick.Choice(
             candidates=candidates,
             preferred=lambda: [
--- a/packages/daisypick_core/src/daisypick_core/routing/splice.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/splice.py
@@ -1,10 +1,11 @@
-"""Joining a repeated answer to what the caller has already seen.
+"""Continuation of a broken response stream by a repeated response.
 
-When a stream breaks, the same attempt is resumed from the byte reached, or
-the request is run again and its answer starts anew. The caller must see
-neither a byte twice nor a gap. A splice passes on only what is new, and checks
-by hash that a repeated beginning is the one the caller saw: a model that
-samples differently the second time yields a failure, not a mixture.
+When a stream breaks, the same attempt is resumed at the last byte received, or
+the request is run again and its response starts from the beginning. The caller
+must receive neither duplicate bytes nor a gap. A splice forwards only new bytes
+and verifies by hash that a repeated prefix equals the bytes already forwarded:
+if the model samples differently the second time, the result is a failure, not
+a mixture of two responses.
 
 Examples:
     >>> splice = Splice()
@@ -25,11 +26,11 @@
 
 
 class Splice:
-    """The caller's view of one answer over several attempts.
+    """One response to the caller, assembled from several attempts.
 
     Attributes:
-        position: Bytes that were passed on to the caller.
-        received: Bytes received of the present attempt.
+        position: Number of bytes forwarded to the caller.
+        received: Number of bytes received of the current attempt.
     """
 
     def __init__(self) -> None:
@@ -39,12 +40,12 @@
         self._again = xxhash.xxh3_128()
 
     def restart(self) -> None:
-        """Note that another attempt's answer begins at its first byte."""
+        """Record that the response of another attempt begins at byte 0."""
         self.received = 0
         self._again = xxhash.xxh3_128()
 
     def accept(self, offset: int, data: bytes) -> bytes | failure_value.Failure:
-        """Return the part of the data that the caller has not seen."""
+        """Return the part of the data that was not forwarded yet."""
         if offset > self.received:
             return _broken(f"offset: {offset} leaves a gap")
         data = data[self.received - offset :]
@@ -63,7 +64,7 @@
         return new
 
     def is_whole(self, size: int) -> bool:
-        """Tell whether the attempt's answer of ``size`` bytes is complete."""
+        """Return whether the response of ``size`` bytes is complete."""
         return self.received == size and self.position == size
 
     def _is_same_beginning(self) -> bool:
--- a/packages/daisypick_core/src/daisypick_core/routing/timers.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/timers.py
@@ -1,4 +1,4 @@
-"""What the dispatcher does later, in the order of time.
+"""The timers of the dispatcher, in order of time.
 
 Examples:
     >>> timers = Timers()
@@ -20,7 +20,7 @@
 
 
 class AgeLoad(typing.NamedTuple):
-    """The load of an agent may have become too old."""
+    """The load report of an agent may have become stale."""
 
     address: str
 
@@ -42,14 +42,14 @@
 
 
 class Timers:
-    """A heap of timers; none is ever taken back."""
+    """A heap of timers, which cannot be cancelled."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int, Timer]] = []
         self._ids = itertools.count()
 
     def add(self, due: float, timer: Timer) -> None:
-        """Set a timer."""
+        """Add a timer."""
         heapq.heappush(self._heap, (due, next(self._ids), timer))
 
     def next_due(self) -> float | None:
@@ -57,7 +57,7 @@
         return self._heap[0][0] if self._heap else None
 
     def pop_due(self, now: float) -> list[Timer]:
-        """Take out the timers whose time has come, earliest first."""
+        """Remove and return the timers that are due, earliest first."""
         due = []
         while self._heap and self._heap[0][0] <= now:
             due.append(heapq.heappop(self._heap)[2])
--- a/packages/daisypick_core/tests/routing/test_dispatcher.py
+++ b/packages/daisypick_core/tests/routing/test_dispatcher.py
@@ -49,10 +49,10 @@
     return dispatcher.Request(**values)
 
 
-def test_returned_request_goes_elsewhere():
-    # An agent starts to drain while a request waits there and gives it back
-    # as "not run". The caller must see nothing of it: the request goes on to
-    # the other agent without costing a retry.
+def test_returned_request_is_sent_to_another_agent():
+    # An agent starts to drain while a request waits there and returns it as
+    # "not run". The caller must not notice: the request is sent to the other
+    # agent without spending a retry.
     subject = make_dispatcher()
     (first,) = subject.submit(make_request("x"), 0.0)
     refusal = failure_value.Failure(code=codes.DRAINING, reason="out")
@@ -62,7 +62,7 @@
     assert second.attempt.attempt_id != first.attempt.attempt_id
 
 
-def test_broken_request_that_may_not_be_repeated_is_unknown():
+def test_outcome_of_broken_non_repeatable_request_is_unknown():
     subject = make_dispatcher()
     request = make_request("x", is_repeatable=False)
     (first,) = subject.submit(request, 0.0)
@@ -72,7 +72,7 @@
     ]
 
 
-def test_window_bounds_what_waits_at_an_agent():
+def test_window_limits_the_attempts_waiting_at_an_agent():
     subject = make_dispatcher(count=1, window=2)
     sent = [
         action
@@ -93,8 +93,8 @@
 
 def test_restarted_agent_gets_the_request_again():
     # The agent restarts; the router still addresses the old incarnation and
-    # gets a refusal that carries the new load. The agent takes work: the
-    # request goes straight back to it, though another one is free as well.
+    # gets a refusal with the new load. The agent accepts work: the request is
+    # resent to it at once, although another agent is free as well.
     subject = make_dispatcher()
     (first,) = subject.submit(make_request("x"), 0.0)
     subject.hear(first.agent, make_load(incarnation="a2"), 1.0)
@@ -104,9 +104,9 @@
     assert second.attempt.incarnation == "a2"
 
 
-def test_suspended_agent_wakes_without_a_tick():
-    # The only agent fails and is suspended. Nothing else happens until the
-    # next event; that event must find the agent awake.
+def test_suspension_ends_without_a_tick():
+    # The only agent fails and is suspended. No event occurs until after the
+    # suspension; the next event must end it.
     subject = make_dispatcher(count=1)
     (first,) = subject.submit(make_request("x"), 0.0)
     subject.returned(
@@ -118,9 +118,9 @@
     assert subject.in_flight_count == 2
 
 
-def test_out_withdraws_what_waits_there():
-    # A data centre goes out. The router hears of it before the agent does:
-    # what waits there must move without the agent's knowing.
+def test_data_centre_out_of_service_withdraws_waiting_attempts():
+    # A data centre is taken out of service. The router learns of it before the
+    # agent does: the attempts that wait there must be withdrawn all the same.
     subject = make_dispatcher(count=1)
     subject.submit(make_request("x"), 0.0)
     agent = dispatcher.AgentAddress(
@@ -134,9 +134,9 @@
     assert again.attempt.request_id == "x"
 
 
-def test_draining_agent_is_asked_again_and_less_and_less_often():
-    # A VM that was leaving stays, and nobody tells the router. It must find
-    # out by itself, without sending one request after the other there.
+def test_draining_agent_is_probed_with_backoff():
+    # A VM that was draining stays, and the router is not notified. It must
+    # detect this by probes, without sending request after request there.
     subject = make_dispatcher(count=1)
     load = make_load(is_draining=True)
     subject.hear("127.0.0.1:0", load, 0.0)
@@ -152,9 +152,9 @@
     assert sent_at[0] >= 2.5
 
 
-def test_what_waits_is_withdrawn_when_another_agent_is_free():
+def test_waiting_attempt_is_withdrawn_when_another_agent_is_free():
     # The queue of the router is empty, but its request waits behind others
-    # at a busy agent while another has a free slot: capacity would idle.
+    # at a busy agent while another one has a free slot, which would stay idle.
     subject = make_dispatcher(count=2)
     busy, free = "127.0.0.1:0", "127.0.0.1:1"
     subject.hear(busy, make_load(running=1), 0.0)
@@ -170,9 +170,9 @@
     assert moved.agent == other
 
 
-def test_refusal_after_a_broken_attempt_is_not_told_as_not_run():
-    # The first attempt breaks off and may have run. The second is refused
-    # as "not run", which is true of the second only.
+def test_refusal_after_a_broken_attempt_is_not_reported_as_not_run():
+    # The first attempt breaks off and may have run. The second is refused as
+    # "not run", which does not apply to the first.
     subject = make_dispatcher()
     (first,) = subject.submit(make_request("x"), 0.0)
     subject.broken(first.attempt.attempt_id, refuse(codes.ANSWER_BROKEN), 0.1)
@@ -184,8 +184,8 @@
 
 
 def test_attempts_stay_within_the_budget_when_all_queues_are_full():
-    # Every agent refuses everything. Without a budget each refusal would be
-    # the next attempt, and the overload would feed itself.
+    # Every agent refuses every attempt. Without a budget each refusal would
+    # cause another attempt, and the overload would sustain itself.
     subject = make_dispatcher(count=4)
     attempts = 0
     failed = []
@@ -206,7 +206,7 @@
     assert {f.failure.ran for f in failed} == {codes.RAN_NO}
 
 
-def test_closing_router_refuses_new_and_finishes_the_rest():
+def test_closing_router_refuses_new_requests_and_finishes_the_rest():
     subject = make_dispatcher(count=1)
     (first,) = subject.submit(make_request("x"), 0.0)
     subject.close()
@@ -217,9 +217,9 @@
     assert subject.is_idle
 
 
-def test_full_router_drops_the_flooders_newest():
-    # One organisation fills the router. A small one must still get in; the
-    # flooder is told when to come back.
+def test_full_router_drops_the_newest_request_of_the_longest_queue():
+    # One organisation fills the router's queues. A request of a small one must
+    # still be accepted; the dropped request gets a retry delay.
     subject = make_dispatcher(count=0, queued_in_all=3)
     for n in range(3):
         subject.submit(make_request(f"f{n}", organisation="flooder"), 0.0)
@@ -232,7 +232,7 @@
     assert due.failure.code == codes.ORGANISATION_QUEUE_FULL
 
 
-def test_cancelled_request_leaves_wherever_it_is():
+def test_cancelled_request_is_dropped_in_every_state():
     subject = make_dispatcher(count=1, window=1)
     for n in range(3):
         subject.submit(make_request(f"r{n}"), 0.0)
@@ -243,9 +243,9 @@
     assert (subject.queued_count, subject.in_flight_count) == (0, 1)
 
 
-def test_hint_moves_the_waiting_request():
-    # The agent at which a request waits says that another one is idle. Only
-    # a request that still waits is taken back, and once.
+def test_hint_withdraws_the_waiting_request():
+    # The agent at which a request waits reports that another one is idle. Only
+    # a request that still waits is withdrawn, and only once.
     subject = make_dispatcher(count=2)
     for n in range(2):
         subject.hear(f"127.0.0.1:{n}", make_load(running=1), 0.0)
@@ -259,10 +259,10 @@
     assert subject.hinted(attempt_id, other, make_load(), 0.004) == []
 
 
-def test_silent_agent_does_not_keep_what_may_be_repeated():
-    # An agent hangs with two requests waiting. The router asks for both and
-    # hears nothing. The one that may be repeated goes elsewhere; the other
-    # one may be running there and must not.
+def test_repeatable_request_fails_over_from_an_unresponsive_agent():
+    # An agent hangs with two requests waiting and does not respond to their
+    # withdrawal. The repeatable request is sent to another agent; the other
+    # one may be running and must not be.
     subject = make_dispatcher(count=2)
     busy, free = "127.0.0.1:0", "127.0.0.1:1"
     subject.hear(free, make_load(running=1), 0.0)
@@ -282,8 +282,8 @@
 
 
 def test_slow_agent_is_used_only_when_no_other_is_free():
-    # One of two agents needs ten times as long to its first token. It is
-    # set aside, but a slow slot is better than none.
+    # One of two agents has ten times the time to first token. It is ejected,
+    # but still used when no other slot is free.
     subject = make_dispatcher(count=2)
     slow = "127.0.0.1:0"
     for n in range(60):
@@ -305,9 +305,9 @@
     assert agents == 4 * ["127.0.0.1:1"] + 4 * [slow]
 
 
-def test_prefix_goes_to_its_agent_until_that_is_full():
-    # All routers send a prefix to the same agent without a word among
-    # them, but never past its free slots while others have some.
+def test_prefix_is_sent_to_its_agents_until_they_are_full():
+    # All routers send a prefix to the same agents without communication, but
+    # not beyond their free slots while others have some.
     firsts = set()
     for seed in range(5):
         subject = dispatcher.Dispatcher(
@@ -347,10 +347,10 @@
     ]
 
 
-def test_one_restart_is_no_row_of_failures():
-    # The only agent of a service restarts while five attempts are out there.
-    # All break at once. Taken for five failures in a row of the next start,
-    # they left it idle for many seconds while work waited.
+def test_restart_does_not_count_as_consecutive_failures():
+    # The only agent of a service restarts with five attempts in flight, which
+    # all break at once. If they counted as consecutive failures of the new
+    # incarnation, it would be suspended for many seconds while work waits.
     subject = make_dispatcher(count=1, window=9)
     subject.hear("127.0.0.1:0", make_load(limit=9), 0.0)
     break_all = break_five(subject, 1.0)
@@ -360,9 +360,9 @@
     assert isinstance(dispatch, actions.Dispatch)
 
 
-def test_agent_that_loses_five_answers_at_once_has_failed_once():
-    # The connection to the only agent is cut while five attempts are out. It
-    # is suspended as after one failure, and is tried again soon.
+def test_five_responses_lost_at_once_count_as_one_failure():
+    # The connection to the only agent breaks with five attempts in flight. It
+    # is suspended as after one failure, and is retried soon.
     subject = make_dispatcher(count=1, window=9)
     subject.hear("127.0.0.1:0", make_load(limit=9), 0.0)
     break_all = break_five(subject, 1.0)
@@ -372,9 +372,9 @@
     assert isinstance(dispatch, actions.Dispatch)
 
 
-def test_verdict_on_a_key_says_nothing_of_the_agent():
-    # Callers ask again for keys whose outcome is unknown. The agent answers
-    # each time that it is; meanwhile it must get the work of others.
+def test_unknown_outcome_of_a_key_does_not_suspend_the_agent():
+    # Callers retry keys whose outcome is unknown, and the agent reports this
+    # each time. It must still get the work of others.
     subject = make_dispatcher(count=1, window=9)
     subject.hear("127.0.0.1:0", make_load(limit=9), 0.0)
     break_all = break_five(subject, 1.0, is_answered=True)
@@ -383,10 +383,10 @@
     assert isinstance(dispatch, actions.Dispatch)
 
 
-def test_old_loads_neither_attract_nor_deny():
-    # A minute ago one agent had many free slots and the others none. Taken
-    # at its word, the old load would send all to the first and never again
-    # to the others. Each agent is asked once, then its fresh answer counts.
+def test_stale_loads_neither_attract_nor_repel_requests():
+    # A minute ago one agent had many free slots and the others none. If the
+    # stale load were trusted, all requests would go to the first agent and none
+    # to the others. Each agent is probed once; then its new load counts.
     subject = make_dispatcher(count=4)
     for n in range(4):
         load = make_load(limit=8, running=0 if n == 0 else 8)
