--- a/packages/daisypick_core/src/daisypick_core/configuration/fetch.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/fetch.py
@@ -23,7 +23,7 @@
         source: The source that is asked for them.
         since: Time of the last progress, seconds.
         staged: Chunks received and referenced by the tree.
-        packs_left: Stored objects not read yet, newest last.
+        remaining_packs: Stored objects not read yet, newest last.
     """
 
     def __init__(
--- a/packages/daisypick_core/src/daisypick_core/routing/__init__.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/__init__.py
@@ -14,9 +14,9 @@
 * ``hedge``: failover from agents that do not respond.
 * ``outliers``: detection of slow agents.
 * ``rebalance``: withdrawal of waiting attempts while other slots are free.
-* ``flights``: attempts in flight.
+* ``sent_attempts``: attempts in flight.
 * ``refusals``: the classification of refusals.
-* ``returns``: resending a returned request, or its final response.
+* ``return_handler``: resending a returned request, or its final response.
 * ``retries``: backoff and retry budget of returned requests.
 * ``retry_budget``: limit of retries relative to first attempts.
 * ``backoff``, ``timers``: exponential backoff with jitter, and its timers.
--- a/packages/daisypick_core/src/daisypick_core/routing/affinity.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/affinity.py
@@ -19,7 +19,7 @@
 
 # Number of preferred agents of a prefix; beyond these only load decides.
 RANKED = 3
-_MOST_PREFIXES = 4096
+_MAX_PREFIXES = 4096
 
 
 class PrefixRanking:
@@ -50,7 +50,7 @@
                 )
             )
             self._rank_by_prefix[prefix] = ranked
-            if len(self._rank_by_prefix) > _MOST_PREFIXES:
+            if len(self._rank_by_prefix) > _MAX_PREFIXES:
                 self._rank_by_prefix.popitem(last=False)
         return ranked
 
--- a/packages/daisypick_core/src/daisypick_core/routing/agents.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/agents.py
@@ -10,7 +10,7 @@
 
 # Above this number of waiting attempts per slot, only one attempt of each
 # organisation may wait.
-_CROWDED_PER_SLOT = 8
+_CONGESTED_PER_SLOT = 8
 _SMOOTHING = 0.2
 # Age beyond which a load report does not indicate free slots, seconds.
 STALE_LOAD = 1.0
@@ -32,13 +32,13 @@
         sent_since_load: Attempts sent since the last load report.
         suspended_until: Time before which no attempt is sent.
         failures: Consecutive failures since the last successful response.
-        drains: Consecutive probes that found it draining.
+        drain_probes: Consecutive probes that found it draining.
         first_token: Moving average of the time to first token, seconds,
             ``None`` before the first sample.
         first_token_samples: Number of samples in the average.
-        slow_until: Time until which it is ejected as slow.
-        times_slow: Number of consecutive ejections.
-        heard_at: Time of the last load report, seconds.
+        ejected_until: Time until which it is ejected as slow.
+        ejections: Number of consecutive ejections.
+        load_received_at: Time of the last load report, seconds.
         is_stale: Whether the load report is too old to indicate free slots.
         has_stale_timer: Whether a timer to check its age is set.
     """
@@ -63,12 +63,12 @@
         self.sent_since_load = 0
         self.suspended_until = 0.0
         self.failures = 0
-        self.drains = 0
+        self.drain_probes = 0
         self.first_token: float | None = None
         self.first_token_samples = 0
-        self.slow_until = 0.0
-        self.times_slow = 0
-        self.heard_at = float("-inf")
+        self.ejected_until = 0.0
+        self.ejections = 0
+        self.load_received_at = float("-inf")
         self.is_stale = False
         self.has_stale_timer = False
 
@@ -79,11 +79,11 @@
             self.failures = 0
             self.forget_first_tokens()
         self.load = load
-        self.heard_at = now
+        self.load_received_at = now
         self.is_stale = False
         self.sent_since_load = 0
         if not load.is_draining:
-            self.drains = 0
+            self.drain_probes = 0
 
     def forget(self) -> None:
         """Reset the agent to the state of an unknown agent."""
@@ -101,7 +101,7 @@
         if self.waiting_by_organisation[organisation] <= 0:
             del self.waiting_by_organisation[organisation]
 
-    def came_back(self) -> None:
+    def attempt_returned(self) -> None:
         """Record a returned attempt, which the last load report may omit."""
         self.sent_since_load = max(0, self.sent_since_load - 1)
 
@@ -135,7 +135,7 @@
         waiting = self.waiting_by_organisation.get(organisation, 0)
         if self.blocked_until_by_organisation.get(organisation, 0.0) > now:
             return False
-        if self.is_crowded:
+        if self.is_congested:
             return waiting < 1
         return waiting < window
 
@@ -147,7 +147,7 @@
         return max(0, self.load.free - self.sent_since_load)
 
     @property
-    def pressure(self) -> float:
+    def load_per_slot(self) -> float:
         """Estimated number of running and waiting attempts per slot."""
         if self.load is None:
             return 0.0 if self.free else 1.0
@@ -155,12 +155,12 @@
         return taken / max(1, self.load.limit)
 
     @property
-    def is_crowded(self) -> bool:
+    def is_congested(self) -> bool:
         """Whether many attempts per slot wait at the agent."""
         if self.load is None:
             return False
         waiting = self.load.waiting + self.sent_since_load
-        return waiting > _CROWDED_PER_SLOT * max(1, self.load.limit)
+        return waiting > _CONGESTED_PER_SLOT * max(1, self.load.limit)
 
     @property
     def is_draining(self) -> bool:
--- a/packages/daisypick_core/src/daisypick_core/routing/allowance.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/allowance.py
@@ -26,11 +26,11 @@
 """
 
 _INITIAL = 16.0
-_LEAST = 1.0
-_MOST = 10_000.0
+_MIN = 1.0
+_MAX = 10_000.0
 # Refusals within this time, seconds, count as one event: they concern attempts
 # that were in flight when the first refusal arrived.
-_ROUND = 0.25
+_REFUSAL_WINDOW = 0.25
 
 
 class Allowance:
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self._value = _INITIAL
-        self._is_probing = True
+        self._is_slow_start = True
         self._refused_at = float("-inf")
 
     @property
@@ -48,13 +48,13 @@
 
     def started(self) -> None:
         """Record that an attempt left an agent's queue and runs."""
-        step = 1.0 if self._is_probing else 1.0 / self._value
-        self._value = min(_MOST, self._value + step)
+        step = 1.0 if self._is_slow_start else 1.0 / self._value
+        self._value = min(_MAX, self._value + step)
 
     def refused(self, now: float) -> None:
         """Record that an agent's queue was full."""
-        if now < self._refused_at + _ROUND:
+        if now < self._refused_at + _REFUSAL_WINDOW:
             return
         self._refused_at = now
-        self._is_probing = False
-        self._value = max(_LEAST, self._value / 2.0)
+        self._is_slow_start = False
+        self._value = max(_MIN, self._value / 2.0)
--- a/packages/daisypick_core/src/daisypick_core/routing/directory.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/directory.py
@@ -19,9 +19,9 @@
 from daisypick_core.routing import timers
 
 _FAILURE_BACKOFF = 1.0
-_LONGEST_FAILURE = 30.0
+_MAX_FAILURE_BACKOFF = 30.0
 _DRAIN_PROBE = 5.0
-_LONGEST_DRAIN_PROBE = 60.0
+_MAX_DRAIN_PROBE = 60.0
 _UNCONFIGURED_PROBE = 1.0
 
 
@@ -58,17 +58,17 @@
     ) -> list[str]:
         """Set the configured agents; return those removed or out of service."""
         entries = {entry.address: entry for entry in addresses}
-        gone = [
+        removed = [
             address
             for address, view in list(self._view_by_address.items())
-            if not self._keep(view, entries.get(address), now)
+            if not self._update(view, entries.get(address), now)
         ]
         for address, entry in entries.items():
             if address not in self._view_by_address:
                 self._add(entry, now)
         for service in self._service_by_name.values():
-            service.rank_again()
-        return gone
+            service.update_ranking()
+        return removed
 
     def hear(
         self,
@@ -80,10 +80,10 @@
         was_draining = view.is_draining
         view.hear(load, now)
         if load.is_draining and not was_draining:
-            self._probe_later(view, now)
+            self._schedule_probe(view, now)
         if not view.has_stale_timer:
             view.has_stale_timer = True
-            self._age_later(view)
+            self._schedule_age_check(view)
         self.refresh(view, now)
 
     def age_load(
@@ -93,17 +93,17 @@
         view = self._view_by_address.get(address)
         if view is None:
             return None
-        if now < view.heard_at + agents_view.STALE_LOAD:
-            self._age_later(view)
+        if now < view.load_received_at + agents_view.STALE_LOAD:
+            self._schedule_age_check(view)
             return None
         view.has_stale_timer = False
         view.is_stale = view.load is not None
         self.refresh(view, now)
         return self.service(view.service)
 
-    def _age_later(self, view: agents_view.AgentView) -> None:
+    def _schedule_age_check(self, view: agents_view.AgentView) -> None:
         self._timers.add(
-            view.heard_at + agents_view.STALE_LOAD,
+            view.load_received_at + agents_view.STALE_LOAD,
             timers.AgeLoad(address=view.address),
         )
 
@@ -147,7 +147,7 @@
         if number == codes.AGENT_QUEUE_FULL.number:
             self._block(view, organisation, refusal.retry_after, now)
         elif number == codes.DRAINING.number:
-            self._probe_later(view, now)
+            self._schedule_probe(view, now)
         elif number == codes.NOT_CONFIGURED.number:
             pause = _UNCONFIGURED_PROBE * self._rng.uniform(0.5, 1.5)
             self._suspend(view, pause, now)
@@ -178,7 +178,7 @@
             view.failures,
             self._rng,
             base=_FAILURE_BACKOFF,
-            longest=_LONGEST_FAILURE,
+            max_mean=_MAX_FAILURE_BACKOFF,
         )
         view.failures += 1
         self._suspend(view, max(pause, refusal.retry_after or 0.0), now)
@@ -192,19 +192,19 @@
         service.typical_first_token.learn(seconds)
         view.note_first_token(seconds)
         view.failures = 0
-        if view.first_token_samples < outliers.LEAST_SAMPLES:
+        if view.first_token_samples < outliers.MIN_SAMPLES:
             return
         if not service.typical_first_token.is_outlier(view.first_token or 0.0):
-            view.times_slow = 0
+            view.ejections = 0
             return
         pause = backoff.pause(
-            view.times_slow,
+            view.ejections,
             self._rng,
-            base=outliers.SET_ASIDE,
-            longest=outliers.LONGEST_SET_ASIDE,
+            base=outliers.EJECTION_SECONDS,
+            max_mean=outliers.MAX_EJECTION_SECONDS,
         )
-        view.times_slow += 1
-        view.slow_until = now + pause
+        view.ejections += 1
+        view.ejected_until = now + pause
         view.forget_first_tokens()
         self._timers.add(now + pause, timers.WakeAgent(address=view.address))
         self.refresh(view, now)
@@ -217,16 +217,16 @@
             view.suspended_until, timers.WakeAgent(address=view.address)
         )
 
-    def _probe_later(self, view: agents_view.AgentView, now: float) -> None:
+    def _schedule_probe(self, view: agents_view.AgentView, now: float) -> None:
         if view.suspended_until > now:
             return
         pause = backoff.pause(
-            view.drains,
+            view.drain_probes,
             self._rng,
             base=_DRAIN_PROBE,
-            longest=_LONGEST_DRAIN_PROBE,
+            max_mean=_MAX_DRAIN_PROBE,
         )
-        view.drains += 1
+        view.drain_probes += 1
         self._suspend(view, pause, now)
 
     def _block(
@@ -246,7 +246,7 @@
             timers.WakeRoom(address=view.address, organisation=organisation),
         )
 
-    def _keep(
+    def _update(
         self,
         view: agents_view.AgentView,
         entry: request_value.AgentAddress | None,
@@ -265,7 +265,7 @@
             # is obsolete; the first response provides the new state.
             view.forget()
             view.suspended_until = 0.0
-            view.drains = 0
+            view.drain_probes = 0
         self.refresh(view, now)
         return view.is_in
 
--- a/packages/daisypick_core/src/daisypick_core/routing/dispatcher.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/dispatcher.py
@@ -24,15 +24,15 @@
 from daisypick_core.routing import agents as agents_view
 from daisypick_core.routing import backlog
 from daisypick_core.routing import directory
-from daisypick_core.routing import flights
 from daisypick_core.routing import pick
 from daisypick_core.routing import rebalance
 from daisypick_core.routing import refusals
 from daisypick_core.routing import request as request_value
 from daisypick_core.routing import retries
 from daisypick_core.routing import retry_budget
-from daisypick_core.routing import returns
+from daisypick_core.routing import return_handler
 from daisypick_core.routing import sender
+from daisypick_core.routing import sent_attempts
 from daisypick_core.routing import timers
 
 Request = request_value.Request
@@ -66,13 +66,13 @@
             router=router,
             rng=rng,
             policy=pick.by_name[policy],
-            known=self._directory,
+            agent_directory=self._directory,
             bounds=self._bounds,
         )
-        self._returns = returns.Returns(
-            known=self._directory,
-            outgoing=self._sender,
-            decisions=self._retries,
+        self._return_handler = return_handler.ReturnHandler(
+            agent_directory=self._directory,
+            attempt_sender=self._sender,
+            job_retries=self._retries,
             clock=self._timers,
         )
         self._closed: failure_value.Failure | None = None
@@ -89,9 +89,12 @@
         gone = set(self._directory.set_agents(addresses, now))
         due: list[actions.Action] = []
         for service in self._directory.services():
-            for flight in list(service.waiting.values()):
-                if flight.agent in gone and not flight.is_withdrawing:
-                    due.append(rebalance.withdraw(service, flight, now))
+            for sent_attempt in list(service.waiting.values()):
+                if (
+                    sent_attempt.agent in gone
+                    and not sent_attempt.is_withdrawing
+                ):
+                    due.append(rebalance.withdraw(service, sent_attempt, now))
         return due + self._sender.send_all(now)
 
     def set_queue_bounds(
@@ -118,15 +121,15 @@
 
     def submit(self, request: Request, now: float) -> list[actions.Action]:
         """Accept a request of a caller, or refuse it."""
-        due = self._returns.run_timers(now)
+        due = self._return_handler.run_timers(now)
         job = request_value.Job(request=request)
         verdict = self._closed or self._bounds.check(
             request, self._directory.services()
         )
         if isinstance(verdict, failure_value.Failure):
-            return [*due, self._returns.fail(job, verdict)]
+            return [*due, self._return_handler.fail(job, verdict)]
         if verdict is not None:
-            due.append(self._returns.fail(verdict.job, verdict.failure))
+            due.append(self._return_handler.fail(verdict.job, verdict.failure))
         self._retries.budget.earn()
         service = self._directory.service(request.service)
         service.queues.append(request.organisation, request.request_id, job)
@@ -138,7 +141,7 @@
         self, agent: str, load: load_message.Load, now: float
     ) -> list[actions.Action]:
         """Record the load report of an agent."""
-        due = self._returns.run_timers(now)
+        due = self._return_handler.run_timers(now)
         view = self._directory.find(agent)
         if view is None:
             return due
@@ -154,24 +157,24 @@
     ) -> list[actions.Action]:
         """Process a hint that an attempt waits while another agent is idle."""
         due = self.hear(agent, load, now)
-        flight = self._sender.flights.find(attempt_id)
+        sent_attempt = self._sender.flights.find(attempt_id)
         view = self._directory.find(agent)
-        if flight is None or view is None:
+        if sent_attempt is None or view is None:
             return due
         service = self._directory.service(view.service)
-        if view in service.free and rebalance.may_withdraw(flight):
-            due.append(rebalance.withdraw(service, flight, now))
+        if view in service.free and rebalance.may_withdraw(sent_attempt):
+            due.append(rebalance.withdraw(service, sent_attempt, now))
         return due
 
     def started(self, attempt_id: str, now: float) -> list[actions.Action]:
         """Record that an attempt has left the agent's queue and runs."""
-        due = self._returns.run_timers(now)
-        flight = self._sender.flights.find(attempt_id)
-        if flight is None or flight.started_at is not None:
+        due = self._return_handler.run_timers(now)
+        sent_attempt = self._sender.flights.find(attempt_id)
+        if sent_attempt is None or sent_attempt.started_at is not None:
             return due
-        flight.started_at = now
-        service = self._sender.leave_agent_queue(flight, now)
-        organisation = flight.attempt.organisation
+        sent_attempt.started_at = now
+        service = self._sender.leave_agent_queue(sent_attempt, now)
+        organisation = sent_attempt.attempt.organisation
         allowance = service.known_allowance(organisation)
         if allowance is not None:
             allowance.started()
@@ -179,38 +182,40 @@
 
     def first_token(self, attempt_id: str, now: float) -> None:
         """Record the first token of a response, for outlier detection."""
-        flight = self._sender.flights.find(attempt_id)
-        if flight is None or flight.started_at is None:
+        sent_attempt = self._sender.flights.find(attempt_id)
+        if sent_attempt is None or sent_attempt.started_at is None:
             return
-        if not flight.attempt.is_stream:
+        if not sent_attempt.attempt.is_stream:
             # A response that is not streamed has no separate first token.
             return
-        view = self._directory.find(flight.agent)
+        view = self._directory.find(sent_attempt.agent)
         if view is not None:
-            seconds = now - flight.started_at
+            seconds = now - sent_attempt.started_at
             self._directory.note_first_token(view, seconds, now)
 
     def returned(
         self, attempt_id: str, refusal: failure_value.Failure, now: float
     ) -> list[actions.Action]:
         """Process a refusal of an attempt that never ran."""
-        due = self._returns.run_timers(now)
-        flight = self._sender.land(attempt_id, now)
-        if flight is None:
+        due = self._return_handler.run_timers(now)
+        sent_attempt = self._sender.pop_attempt(attempt_id, now)
+        if sent_attempt is None:
             return due
-        job = flight.job
-        view = self._directory.find(flight.agent)
+        job = sent_attempt.job
+        view = self._directory.find(sent_attempt.agent)
         if refusal.code.number in refusals.FINAL:
-            due.append(self._returns.fail(job, refusal))
-            return due + self._returns.send_like(job.request, now)
+            due.append(self._return_handler.fail(job, refusal))
+            return due + self._return_handler.send_queued(job.request, now)
         if view is not None:
-            view.came_back()
+            view.attempt_returned()
             self._directory.note_refusal(
                 view, job.request.organisation, refusal, now
             )
-        if self._returns.is_renewed(flight, refusal, view):
+        if self._return_handler.can_resend_to_agent(
+            sent_attempt, refusal, view
+        ):
             return [*due, self._sender.dispatch(job, view, now)]
-        return due + self._returns.move(flight, refusal, now)
+        return due + self._return_handler.resend(sent_attempt, refusal, now)
 
     def broken(
         self,
@@ -229,43 +234,49 @@
             is_answered: Whether the agent itself reported the failure;
                 otherwise its response was lost.
         """
-        due = self._returns.run_timers(now)
-        flight = self._sender.land(attempt_id, now)
-        if flight is None:
+        due = self._return_handler.run_timers(now)
+        sent_attempt = self._sender.pop_attempt(attempt_id, now)
+        if sent_attempt is None:
             return due
-        job = flight.job
-        job.avoid = flight.agent
-        view = self._directory.find(flight.agent)
+        job = sent_attempt.job
+        job.avoided_agent = sent_attempt.agent
+        view = self._directory.find(sent_attempt.agent)
         if view is not None:
-            view.came_back()
-            if _speaks_of_agent(flight, view, is_answered=is_answered):
+            view.attempt_returned()
+            if _is_agent_failure(sent_attempt, view, is_answered=is_answered):
                 self._directory.note_failure(view, refusal, now)
-        is_futile = refusal.code.number in refusals.NO_RETRY
-        if is_futile or self._retries.broke(job, now) == retries.SPENT:
-            due.append(self._returns.fail(job, refusal))
-        return due + self._returns.send_like(job.request, now)
+        is_final = refusal.code.number in refusals.NO_RETRY
+        if is_final or self._retries.failed(job, now) == retries.SPENT:
+            due.append(self._return_handler.fail(job, refusal))
+        return due + self._return_handler.send_queued(job.request, now)
 
     def finished(self, attempt_id: str, now: float) -> list[actions.Action]:
         """Record that the complete response of an attempt has arrived."""
-        due = self._returns.run_timers(now)
-        flight = self._sender.land(attempt_id, now)
-        if flight is None:
+        due = self._return_handler.run_timers(now)
+        sent_attempt = self._sender.pop_attempt(attempt_id, now)
+        if sent_attempt is None:
             return due
-        view = self._directory.find(flight.agent)
+        view = self._directory.find(sent_attempt.agent)
         if view is not None:
             view.failures = 0
-        return due + self._returns.send_like(flight.job.request, now)
+        return due + self._return_handler.send_queued(
+            sent_attempt.job.request, now
+        )
 
     def cancel(self, request_id: str, now: float) -> list[actions.Action]:
         """Drop a request whose caller has disconnected."""
-        due = self._returns.run_timers(now)
-        flight = self._sender.flights.find_request(request_id)
-        if flight is not None:
-            self._sender.land(flight.attempt.attempt_id, now)
+        due = self._return_handler.run_timers(now)
+        sent_attempt = self._sender.flights.find_request(request_id)
+        if sent_attempt is not None:
+            self._sender.pop_attempt(sent_attempt.attempt.attempt_id, now)
             due.append(
-                actions.Cancel(attempt=flight.attempt, agent=flight.agent)
+                actions.Cancel(
+                    attempt=sent_attempt.attempt, agent=sent_attempt.agent
+                )
+            )
+            return due + self._return_handler.send_queued(
+                sent_attempt.job.request, now
             )
-            return due + self._returns.send_like(flight.job.request, now)
         self._retries.forget(request_id)
         for service in self._directory.services():
             service.queues.remove(request_id)
@@ -273,12 +284,12 @@
 
     def tick(self, now: float) -> list[actions.Action]:
         """Fail requests past their deadlines and send what can be sent."""
-        due = self._returns.run_timers(now)
-        self._retries.budget.trickle(now)
+        due = self._return_handler.run_timers(now)
+        self._retries.budget.refill(now)
         for service in self._directory.services():
             for job in service.queues.expire(now):
-                due.append(self._returns.expire(job))
-            due += self._returns.hedge(service, now)
+                due.append(self._return_handler.expire(job))
+            due += self._return_handler.hedge(service, now)
             due += self._sender.send_free(service, now)
         return due
 
@@ -303,8 +314,8 @@
         return len(self._sender.flights)
 
 
-def _speaks_of_agent(
-    flight: flights.Flight,
+def _is_agent_failure(
+    sent_attempt: sent_attempts.SentAttempt,
     view: agents_view.AgentView,
     *,
     is_answered: bool,
@@ -316,7 +327,7 @@
     key whose outcome is unknown, which is repeated on each retry of the caller,
     and the loss of attempts of an earlier incarnation in a restart.
     """
-    if is_answered and not flight.job.request.is_repeatable:
+    if is_answered and not sent_attempt.job.request.is_repeatable:
         return False
     load = view.load
-    return load is None or load.incarnation == flight.attempt.incarnation
+    return load is None or load.incarnation == sent_attempt.attempt.incarnation
--- a/packages/daisypick_core/src/daisypick_core/routing/hedge.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/hedge.py
@@ -10,31 +10,36 @@
 
 import itertools
 
-from daisypick_core.routing import flights
 from daisypick_core.routing import retry_budget
+from daisypick_core.routing import sent_attempts
 from daisypick_core.routing import service_view
 
 # Time without a response to a withdrawal, seconds.
 HEDGE_AFTER = 1.0
-_FLIGHTS_LOOKED_AT = 64
+_MAX_ATTEMPTS_SCANNED = 64
 
 
-def find_silent(
+def find_unresponsive(
     service: service_view.ServiceView,
     budget: retry_budget.RetryBudget,
     now: float,
-) -> list[flights.Flight]:
+) -> list[sent_attempts.SentAttempt]:
     """Return attempts to fail over, each charged to the retry budget."""
-    silent = []
-    for flight in itertools.islice(
-        service.waiting.values(), _FLIGHTS_LOOKED_AT
+    unresponsive = []
+    for sent_attempt in itertools.islice(
+        service.waiting.values(), _MAX_ATTEMPTS_SCANNED
     ):
-        if _is_silent(flight, now) and budget.try_spend():
-            silent.append(flight)
-    return silent
+        if _is_unresponsive(sent_attempt, now) and budget.try_spend():
+            unresponsive.append(sent_attempt)
+    return unresponsive
 
 
-def _is_silent(flight: flights.Flight, now: float) -> bool:
-    if not flight.job.request.is_repeatable or not flight.is_withdrawing:
+def _is_unresponsive(
+    sent_attempt: sent_attempts.SentAttempt, now: float
+) -> bool:
+    if (
+        not sent_attempt.job.request.is_repeatable
+        or not sent_attempt.is_withdrawing
+    ):
         return False
-    return now - flight.withdrawn_at >= HEDGE_AFTER
+    return now - sent_attempt.withdrawn_at >= HEDGE_AFTER
--- a/packages/daisypick_core/src/daisypick_core/routing/outliers.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/outliers.py
@@ -17,12 +17,12 @@
 
 SLOW_FACTOR = 3.0
 # Minimum number of samples of an agent before it can be ejected.
-LEAST_SAMPLES = 4
-SET_ASIDE = 10.0
-LONGEST_SET_ASIDE = 120.0
+MIN_SAMPLES = 4
+EJECTION_SECONDS = 10.0
+MAX_EJECTION_SECONDS = 120.0
 _STEP = 0.03
-_LEAST_KNOWN = 20
-_NOISE = 0.05
+_MIN_SERVICE_SAMPLES = 20
+_NOISE_SECONDS = 0.05
 
 
 class TypicalFirstToken:
@@ -44,6 +44,6 @@
 
     def is_outlier(self, seconds: float) -> bool:
         """Return whether an agent with this average is slow."""
-        if self._median is None or self._samples < _LEAST_KNOWN:
+        if self._median is None or self._samples < _MIN_SERVICE_SAMPLES:
             return False
-        return seconds > SLOW_FACTOR * self._median + _NOISE
+        return seconds > SLOW_FACTOR * self._median + _NOISE_SECONDS
--- a/packages/daisypick_core/src/daisypick_core/routing/pick.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/pick.py
@@ -61,7 +61,7 @@
     """Return the one of two random candidates with less load per slot."""
     first = rng.choice(choice.candidates)
     second = rng.choice(choice.candidates)
-    return second if second.pressure < first.pressure else first
+    return second if second.load_per_slot < first.load_per_slot else first
 
 
 @register("prefix_affinity")
--- a/packages/daisypick_core/src/daisypick_core/routing/rebalance.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/rebalance.py
@@ -12,60 +12,66 @@
 
 from daisypick_core.routing import actions
 from daisypick_core.routing import directory
-from daisypick_core.routing import flights
+from daisypick_core.routing import sent_attempts
 from daisypick_core.routing import service_view
 
-SHORTEST_WAIT = 0.02
-_MOST_WITHDRAWALS = 3
-_AGENTS_LOOKED_AT = 16
-_FLIGHTS_LOOKED_AT = 64
+MIN_WAIT_SECONDS = 0.02
+_MAX_WITHDRAWALS = 3
+_MAX_AGENTS_SCANNED = 16
+_MAX_ATTEMPTS_SCANNED = 64
 
 
 def withdraw_for_free_agents(
     service: service_view.ServiceView,
-    known: directory.Directory,
+    agent_directory: directory.Directory,
     now: float,
 ) -> list[actions.Action]:
     """Return withdrawals to fill free slots when no request is queued."""
     if not len(service.free) or not service.waiting or len(service.queues):
         return []
-    looked_at = itertools.islice(service.free.items, _AGENTS_LOOKED_AT)
-    slots = sum(view.free for view in looked_at) - service.withdrawing
+    scanned = itertools.islice(service.free.items, _MAX_AGENTS_SCANNED)
+    slots = sum(view.free for view in scanned) - service.withdrawing
     due: list[actions.Action] = []
-    for flight in itertools.islice(
-        service.waiting.values(), _FLIGHTS_LOOKED_AT
+    for sent_attempt in itertools.islice(
+        service.waiting.values(), _MAX_ATTEMPTS_SCANNED
     ):
         if len(due) >= slots:
             break
-        if _is_worth_it(flight, known, now):
-            due.append(withdraw(service, flight, now))
+        if _should_withdraw(sent_attempt, agent_directory, now):
+            due.append(withdraw(service, sent_attempt, now))
     return due
 
 
 def withdraw(
-    service: service_view.ServiceView, flight: flights.Flight, now: float
+    service: service_view.ServiceView,
+    sent_attempt: sent_attempts.SentAttempt,
+    now: float,
 ) -> actions.Withdraw:
     """Begin the withdrawal of a waiting attempt."""
-    flight.is_withdrawing = True
-    flight.withdrawn_at = now
-    flight.job.withdrawals += 1
+    sent_attempt.is_withdrawing = True
+    sent_attempt.withdrawn_at = now
+    sent_attempt.job.withdrawals += 1
     service.withdrawing += 1
-    return actions.Withdraw(attempt=flight.attempt, agent=flight.agent)
+    return actions.Withdraw(
+        attempt=sent_attempt.attempt, agent=sent_attempt.agent
+    )
 
 
-def may_withdraw(flight: flights.Flight) -> bool:
+def may_withdraw(sent_attempt: sent_attempts.SentAttempt) -> bool:
     """Return whether an attempt waits and was not moved too often."""
-    if flight.started_at is not None or flight.is_withdrawing:
+    if sent_attempt.started_at is not None or sent_attempt.is_withdrawing:
         return False
-    return flight.job.withdrawals < _MOST_WITHDRAWALS
+    return sent_attempt.job.withdrawals < _MAX_WITHDRAWALS
 
 
-def _is_worth_it(
-    flight: flights.Flight, known: directory.Directory, now: float
+def _should_withdraw(
+    sent_attempt: sent_attempts.SentAttempt,
+    agent_directory: directory.Directory,
+    now: float,
 ) -> bool:
-    if not may_withdraw(flight):
+    if not may_withdraw(sent_attempt):
         return False
-    if now - flight.sent_at < SHORTEST_WAIT:
+    if now - sent_attempt.sent_at < MIN_WAIT_SECONDS:
         return False
-    view = known.find(flight.agent)
+    view = agent_directory.find(sent_attempt.agent)
     return view is None or view.free == 0
--- a/packages/daisypick_core/src/daisypick_core/routing/refusals.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/refusals.py
@@ -35,7 +35,7 @@
 )
 
 
-def as_answer(
+def final_failure(
     job: request_value.Job, refusal: failure_value.Failure
 ) -> failure_value.Failure:
     """Return the failure that is true for all attempts of a job.
--- a/packages/daisypick_core/src/daisypick_core/routing/request.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/request.py
@@ -70,7 +70,7 @@
         moves: Number of attempts returned as "not run".
         retries: Number of attempts that were retried after a failure.
         withdrawals: Number of withdrawals from an agent.
-        avoid: Agent that last refused or failed it, ``""`` if none.
+        avoided_agent: Agent that last refused or failed it, ``""`` if none.
         may_have_run: Whether an attempt broke off without a response.
         needs_budget: Whether its next attempt spends from the retry budget.
     """
@@ -80,7 +80,7 @@
         "moves",
         "retries",
         "withdrawals",
-        "avoid",
+        "avoided_agent",
         "may_have_run",
         "needs_budget",
     )
@@ -90,7 +90,7 @@
         self.moves = 0
         self.retries = 0
         self.withdrawals = 0
-        self.avoid = ""
+        self.avoided_agent = ""
         self.may_have_run = False
         self.needs_budget = False
 
--- a/packages/daisypick_core/src/daisypick_core/routing/retries.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/retries.py
@@ -26,9 +26,9 @@
 SPENT = "spent"
 
 _FREE_MOVES = 3
-_MOST_RETRIES = 3
-_BASE = 0.05
-_LONGEST = 2.0
+_MAX_RETRIES = 3
+_BASE_BACKOFF = 0.05
+_MAX_BACKOFF = 2.0
 
 
 class Retries:
@@ -68,13 +68,13 @@
         self._pause(job, max(0, job.moves - _FREE_MOVES), now)
         return PAUSED
 
-    def broke(self, job: request_value.Job, now: float) -> str:
+    def failed(self, job: request_value.Job, now: float) -> str:
         """Decide on a job whose attempt broke off and may have run."""
         job.may_have_run = True
         # A request that crashes every engine would otherwise be retried across
         # the fleet and exhaust the shared budget; after a few attempts the
         # request itself is assumed to be the cause.
-        if not job.request.is_repeatable or job.retries >= _MOST_RETRIES:
+        if not job.request.is_repeatable or job.retries >= _MAX_RETRIES:
             return SPENT
         if not self.budget.try_spend():
             return SPENT
@@ -100,7 +100,10 @@
 
     def _pause(self, job: request_value.Job, failures: int, now: float) -> None:
         pause = backoff.pause(
-            max(0, failures), self._rng, base=_BASE, longest=_LONGEST
+            max(0, failures),
+            self._rng,
+            base=_BASE_BACKOFF,
+            max_mean=_MAX_BACKOFF,
         )
         request_id = job.request.request_id
         self._job_by_request[request_id] = job
--- a/packages/daisypick_core/src/daisypick_core/routing/retry_budget.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/retry_budget.py
@@ -11,13 +11,13 @@
     (True, False)
     >>> budget.earn(); budget.earn(); budget.try_spend()
     True
-    >>> budget.trickle(0.0); budget.trickle(20.0); budget.try_spend()
+    >>> budget.refill(0.0); budget.refill(20.0); budget.try_spend()
     True
 """
 
 DEFAULT_RATIO = 0.08
 DEFAULT_BURST = 10.0
-TRICKLE_PER_SECOND = 0.1
+REFILL_PER_SECOND = 0.1
 
 
 class RetryBudget:
@@ -29,18 +29,18 @@
         self._ratio = ratio
         self._burst = burst
         self._tokens = burst
-        self._trickled_at: float | None = None
+        self._refilled_at: float | None = None
 
     def earn(self) -> None:
         """Record a first attempt."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
-    def trickle(self, now: float) -> None:
+    def refill(self, now: float) -> None:
         """Refill the budget for the time since the last call."""
-        if self._trickled_at is not None:
-            earned = (now - self._trickled_at) * TRICKLE_PER_SECOND
+        if self._refilled_at is not None:
+            earned = (now - self._refilled_at) * REFILL_PER_SECOND
             self._tokens = min(self._burst, self._tokens + max(0.0, earned))
-        self._trickled_at = now
+        self._refilled_at = now
 
     def try_spend(self) -> bool:
         """Spend one retry if available; return whether it was."""
--- a/packages/daisypick_core/src/daisypick_core/routing/returns.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/return_handler.py
@@ -8,35 +8,35 @@
 from daisypick_core.routing import actions
 from daisypick_core.routing import agents as agents_view
 from daisypick_core.routing import directory
-from daisypick_core.routing import flights
 from daisypick_core.routing import hedge as hedge_module
 from daisypick_core.routing import refusals
 from daisypick_core.routing import request as request_value
 from daisypick_core.routing import retries
 from daisypick_core.routing import sender
+from daisypick_core.routing import sent_attempts
 from daisypick_core.routing import service_view
 from daisypick_core.routing import timers
 
 _RETRY_AFTER = 1.0
-_SILENT = failure_value.Failure(
+_UNRESPONSIVE = failure_value.Failure(
     code=codes.PEER_UNREACHABLE, reason="agent: does not answer"
 )
 
 
-class Returns:
+class ReturnHandler:
     """Resends returned requests, or gives them their final response."""
 
     def __init__(
         self,
         *,
-        known: directory.Directory,
-        outgoing: sender.Sender,
-        decisions: retries.Retries,
+        agent_directory: directory.Directory,
+        attempt_sender: sender.Sender,
+        job_retries: retries.Retries,
         clock: timers.Timers,
     ) -> None:
-        self._directory = known
-        self._sender = outgoing
-        self._retries = decisions
+        self._directory = agent_directory
+        self._sender = attempt_sender
+        self._retries = job_retries
         self._timers = clock
 
     def run_timers(self, now: float) -> list[actions.Action]:
@@ -63,15 +63,15 @@
                     due += self.requeue(job, now)
         return due
 
-    def move(
+    def resend(
         self,
-        flight: flights.Flight,
+        sent_attempt: sent_attempts.SentAttempt,
         refusal: failure_value.Failure,
         now: float,
     ) -> list[actions.Action]:
         """Resend a request returned as "not run", now or after a backoff."""
-        job = flight.job
-        job.avoid = flight.agent
+        job = sent_attempt.job
+        job.avoided_agent = sent_attempt.agent
         verdict = self._retries.returned(job, refusal, now)
         if verdict == retries.NOW:
             return self.requeue(job, now)
@@ -83,31 +83,33 @@
                 retry_after=refusal.retry_after or _RETRY_AFTER,
             )
             due.append(self.fail(job, spent))
-        return due + self.send_like(job.request, now)
+        return due + self.send_queued(job.request, now)
 
     def hedge(
         self, service: service_view.ServiceView, now: float
     ) -> list[actions.Action]:
         """Fail over the attempts that unresponsive agents do not return."""
         due: list[actions.Action] = []
-        for flight in hedge_module.find_silent(
+        for sent_attempt in hedge_module.find_unresponsive(
             service, self._retries.budget, now
         ):
-            attempt = flight.attempt
-            self._sender.land(attempt.attempt_id, now)
-            due.append(actions.Cancel(attempt=attempt, agent=flight.agent))
-            job = flight.job
-            job.avoid = flight.agent
+            attempt = sent_attempt.attempt
+            self._sender.pop_attempt(attempt.attempt_id, now)
+            due.append(
+                actions.Cancel(attempt=attempt, agent=sent_attempt.agent)
+            )
+            job = sent_attempt.job
+            job.avoided_agent = sent_attempt.agent
             job.may_have_run = True
-            view = self._directory.find(flight.agent)
+            view = self._directory.find(sent_attempt.agent)
             if view is not None:
-                self._directory.note_failure(view, _SILENT, now)
+                self._directory.note_failure(view, _UNRESPONSIVE, now)
             due += self.requeue(job, now)
         return due
 
-    def is_renewed(
+    def can_resend_to_agent(
         self,
-        flight: flights.Flight,
+        sent_attempt: sent_attempts.SentAttempt,
         refusal: failure_value.Failure,
         view: agents_view.AgentView | None,
     ) -> bool:
@@ -120,8 +122,11 @@
             return False
         if view is None or view.load is None or not view.free:
             return False
-        heard = (view.load.incarnation, view.load.epoch)
-        return heard != (flight.attempt.incarnation, flight.attempt.epoch)
+        current = (view.load.incarnation, view.load.epoch)
+        return current != (
+            sent_attempt.attempt.incarnation,
+            sent_attempt.attempt.epoch,
+        )
 
     def requeue(
         self, job: request_value.Job, now: float
@@ -132,9 +137,9 @@
         request = job.request
         service = self._directory.service(request.service)
         service.queues.prepend(request.organisation, request.request_id, job)
-        return self.send_like(request, now)
+        return self.send_queued(request, now)
 
-    def send_like(
+    def send_queued(
         self, request: request_value.Request, now: float
     ) -> list[actions.Action]:
         """Send queued requests of the same service and organisation."""
@@ -149,7 +154,7 @@
         """Return the final response of a failed job."""
         return actions.Fail(
             request_id=job.request.request_id,
-            failure=refusals.as_answer(job, refusal),
+            failure=refusals.final_failure(job, refusal),
         )
 
     def expire(self, job: request_value.Job) -> actions.Fail:
--- a/packages/daisypick_core/src/daisypick_core/routing/sender.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/sender.py
@@ -13,10 +13,10 @@
 from daisypick_core.routing import agents as agents_view
 from daisypick_core.routing import backlog
 from daisypick_core.routing import directory
-from daisypick_core.routing import flights
 from daisypick_core.routing import pick
 from daisypick_core.routing import rebalance
 from daisypick_core.routing import request as request_value
+from daisypick_core.routing import sent_attempts
 from daisypick_core.routing import service_view
 
 
@@ -29,14 +29,14 @@
         router: str,
         rng: random.Random,
         policy: pick.Policy,
-        known: directory.Directory,
+        agent_directory: directory.Directory,
         bounds: backlog.BacklogBounds,
     ) -> None:
-        self.flights = flights.FlightTable()
+        self.flights = sent_attempts.SentAttemptTable()
         self._router = router
         self._rng = rng
         self._policy = policy
-        self._directory = known
+        self._directory = agent_directory
         self._bounds = bounds
         self._ids = itertools.count(1)
 
@@ -52,15 +52,15 @@
     ) -> list[actions.Action]:
         """Send what the agents' windows allow, round-robin by organisation."""
         due: list[actions.Action] = []
-        open_organisations = list(service.queues.keys())
-        while open_organisations:
-            still_open = []
-            for organisation in open_organisations:
+        organisations = list(service.queues.keys())
+        while organisations:
+            next_organisations = []
+            for organisation in organisations:
                 dispatch = self._send_one(service, organisation, now)
                 if dispatch is not None:
                     due.append(dispatch)
-                    still_open.append(organisation)
-            open_organisations = still_open
+                    next_organisations.append(organisation)
+            organisations = next_organisations
         return due + self._rebalance(service, now)
 
     def send_free(
@@ -121,11 +121,11 @@
         """Send a job to an agent."""
         service = self._directory.service(job.request.service)
         attempt = self._make_attempt(job.request, view, service)
-        flight = flights.Flight(
+        sent_attempt = sent_attempts.SentAttempt(
             job=job, attempt=attempt, agent=view.address, sent_at=now
         )
-        self.flights.add(flight)
-        service.waiting[attempt.attempt_id] = flight
+        self.flights.add(sent_attempt)
+        service.waiting[attempt.attempt_id] = sent_attempt
         service.waiting_by_organisation[attempt.organisation] += 1
         view.sent(attempt.organisation)
         service.refresh(view, now)
@@ -156,25 +156,27 @@
         )
 
     def leave_agent_queue(
-        self, flight: flights.Flight, now: float
+        self, sent_attempt: sent_attempts.SentAttempt, now: float
     ) -> service_view.ServiceView:
         """Record that an attempt no longer waits at its agent."""
-        service = self._directory.service(flight.attempt.service)
-        organisation = flight.attempt.organisation
-        del service.waiting[flight.attempt.attempt_id]
+        service = self._directory.service(sent_attempt.attempt.service)
+        organisation = sent_attempt.attempt.organisation
+        del service.waiting[sent_attempt.attempt.attempt_id]
         service.waiting_by_organisation[organisation] -= 1
-        if flight.is_withdrawing:
-            flight.is_withdrawing = False
+        if sent_attempt.is_withdrawing:
+            sent_attempt.is_withdrawing = False
             service.withdrawing -= 1
-        view = self._directory.find(flight.agent)
+        view = self._directory.find(sent_attempt.agent)
         if view is not None:
             view.left_queue(organisation)
             service.refresh_room(view, organisation, now)
         return service
 
-    def land(self, attempt_id: str, now: float) -> flights.Flight | None:
+    def pop_attempt(
+        self, attempt_id: str, now: float
+    ) -> sent_attempts.SentAttempt | None:
         """Remove and return an attempt, ``None`` if it is unknown."""
-        flight = self.flights.land(attempt_id)
-        if flight is not None and flight.started_at is None:
-            self.leave_agent_queue(flight, now)
-        return flight
+        sent_attempt = self.flights.pop_attempt(attempt_id)
+        if sent_attempt is not None and sent_attempt.started_at is None:
+            self.leave_agent_queue(sent_attempt, now)
+        return sent_attempt
--- a/packages/daisypick_core/src/daisypick_core/routing/flights.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/sent_attempts.py
@@ -4,7 +4,7 @@
 from daisypick_core.routing import request as request_value
 
 
-class Flight:
+class SentAttempt:
     """An attempt of a request in flight at an agent.
 
     Attributes:
@@ -44,36 +44,36 @@
         self.withdrawn_at = 0.0
 
 
-class FlightTable:
+class SentAttemptTable:
     """Attempts in flight by id and by request, at most one per request."""
 
     def __init__(self) -> None:
-        self._flight_by_attempt: dict[str, Flight] = {}
-        self._flight_by_request: dict[str, Flight] = {}
+        self._attempt_by_id: dict[str, SentAttempt] = {}
+        self._attempt_by_request: dict[str, SentAttempt] = {}
 
     def __len__(self) -> int:
-        return len(self._flight_by_attempt)
+        return len(self._attempt_by_id)
 
-    def add(self, flight: Flight) -> None:
+    def add(self, sent_attempt: SentAttempt) -> None:
         """Add an attempt that was sent."""
-        self._flight_by_attempt[flight.attempt.attempt_id] = flight
-        self._flight_by_request[flight.attempt.request_id] = flight
+        self._attempt_by_id[sent_attempt.attempt.attempt_id] = sent_attempt
+        self._attempt_by_request[sent_attempt.attempt.request_id] = sent_attempt
 
-    def find(self, attempt_id: str) -> Flight | None:
+    def find(self, attempt_id: str) -> SentAttempt | None:
         """Return an attempt in flight by its id."""
-        return self._flight_by_attempt.get(attempt_id)
+        return self._attempt_by_id.get(attempt_id)
 
-    def all(self) -> list[Flight]:
+    def all(self) -> list[SentAttempt]:
         """Return all attempts in flight, oldest first."""
-        return list(self._flight_by_attempt.values())
+        return list(self._attempt_by_id.values())
 
-    def find_request(self, request_id: str) -> Flight | None:
+    def find_request(self, request_id: str) -> SentAttempt | None:
         """Return the attempt in flight of a request."""
-        return self._flight_by_request.get(request_id)
+        return self._attempt_by_request.get(request_id)
 
-    def land(self, attempt_id: str) -> Flight | None:
+    def pop_attempt(self, attempt_id: str) -> SentAttempt | None:
         """Remove and return an attempt, ``None`` if it is unknown."""
-        flight = self._flight_by_attempt.pop(attempt_id, None)
-        if flight is not None:
-            del self._flight_by_request[flight.attempt.request_id]
-        return flight
+        sent_attempt = self._attempt_by_id.pop(attempt_id, None)
+        if sent_attempt is not None:
+            del self._attempt_by_request[sent_attempt.attempt.request_id]
+        return sent_attempt
--- a/packages/daisypick_core/src/daisypick_core/routing/service_view.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/service_view.py
@@ -21,12 +21,12 @@
 from daisypick_core.routing import affinity
 from daisypick_core.routing import agents as agents_view
 from daisypick_core.routing import allowance
-from daisypick_core.routing import flights
 from daisypick_core.routing import outliers
 from daisypick_core.routing import pick
 from daisypick_core.routing import request as request_value
+from daisypick_core.routing import sent_attempts
 
-_TRIES = 4
+_MAX_CHOICES = 4
 
 
 class Room(typing.NamedTuple):
@@ -47,7 +47,7 @@
     Attributes:
         usable: Agents to which attempts may be sent.
         free: Usable agents with free slots by a recent load report.
-        slow: Usable agents with free slots that are ejected as slow.
+        ejected: Usable agents with free slots but a high time to first token.
         stale: Usable agents whose load report is too old to indicate free
             slots and that have not been probed since.
         unknown: Usable agents without a load report that may be probed.
@@ -72,14 +72,14 @@
         self.queues: keyed_queues.KeyedQueues[str, request_value.Job] = (
             keyed_queues.KeyedQueues()
         )
-        self.waiting: collections.OrderedDict[str, flights.Flight] = (
-            collections.OrderedDict()
-        )
+        self.waiting: collections.OrderedDict[
+            str, sent_attempts.SentAttempt
+        ] = collections.OrderedDict()
         self.waiting_by_organisation: collections.Counter[str] = (
             collections.Counter()
         )
         self.withdrawing = 0
-        self.slow: indexed_set.IndexedSet[agents_view.AgentView] = (
+        self.ejected: indexed_set.IndexedSet[agents_view.AgentView] = (
             indexed_set.IndexedSet()
         )
         self.stale: indexed_set.IndexedSet[agents_view.AgentView] = (
@@ -96,12 +96,12 @@
         self._view_by_address[view.address] = view
         is_free = is_usable and view.free > 0
         is_known = is_free and view.load is not None
-        is_slow = view.slow_until > now
+        is_ejected = view.ejected_until > now
         is_fresh = is_known and not view.is_stale
-        self.free.put(view, is_member=is_fresh and not is_slow)
-        self.slow.put(view, is_member=is_known and is_slow)
+        self.free.put(view, is_member=is_fresh and not is_ejected)
+        self.ejected.put(view, is_member=is_known and is_ejected)
         is_stale = is_usable and view.is_stale and not view.sent_since_load
-        self.stale.put(view, is_member=is_stale and not is_slow)
+        self.stale.put(view, is_member=is_stale and not is_ejected)
         self.unknown.put(view, is_member=is_free and view.load is None)
         if self.usable.put(view, is_member=is_usable):
             for organisation, room in self._room_by_organisation.items():
@@ -120,7 +120,7 @@
         self.usable.discard(view)
         self.free.discard(view)
         self.unknown.discard(view)
-        self.slow.discard(view)
+        self.ejected.discard(view)
         self.stale.discard(view)
         self._view_by_address.pop(view.address, None)
         for room in self._room_by_organisation.values():
@@ -128,10 +128,10 @@
 
     def has_free(self) -> bool:
         """Return whether some agent is estimated to have free slots."""
-        agents = (self.free, self.stale, self.unknown, self.slow)
+        agents = (self.free, self.stale, self.unknown, self.ejected)
         return any(len(each) for each in agents)
 
-    def rank_again(self) -> None:
+    def update_ranking(self) -> None:
         """Update the prefix ranking after agents were added or removed."""
         self._ranking.set_addresses(self._view_by_address)
 
@@ -150,7 +150,7 @@
             for view in ranked
             if view is not None
             and view in self.usable
-            and view.slow_until <= now
+            and view.ejected_until <= now
             and view.may_be_free()
             and (view.free or view.has_room(organisation, self._window, now))
         ]
@@ -194,20 +194,20 @@
         # A router receives load reports from most agents only once in many
         # seconds. If stale reports were trusted, all work would go to agents
         # that had a free slot then, and none to agents that have one now.
-        for _ in range(min(_TRIES, len(self.stale))):
+        for _ in range(min(_MAX_CHOICES, len(self.stale))):
             view = self._pick(self.stale.items, job, policy, rng, now)
             if view.has_room(organisation, self._window, now):
                 return view
         # The incarnation of an unknown agent is not known, so the first attempt
         # is refused and returns it. This is done only when no known agent is
         # free.
-        for agents in (self.unknown, self.slow):
+        for agents in (self.unknown, self.ejected):
             if len(agents):
                 return self._pick(agents.items, job, policy, rng, now)
         room = self.room(organisation, now)
         if self.waiting_by_organisation[organisation] >= room.allowance.value:
             return None
-        for _ in range(_TRIES):
+        for _ in range(_MAX_CHOICES):
             if not len(room.agents):
                 return None
             view = self._pick(room.agents.items, job, policy, rng, now)
@@ -242,11 +242,11 @@
             preferred=lambda: [
                 view
                 for view in self.preferred(job.request, now)
-                if view.address != job.avoid
+                if view.address != job.avoided_agent
             ],
         )
         view = policy(choice, rng)
-        if view.address != job.avoid or len(candidates) == 1:
+        if view.address != job.avoided_agent or len(candidates) == 1:
             return view
         position = rng.randrange(len(candidates) - 1)
         other = candidates[position]
--- a/packages/daisypick_core/src/daisypick_core/routing/splice.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/splice.py
@@ -36,13 +36,13 @@
     def __init__(self) -> None:
         self.position = 0
         self.received = 0
-        self._seen = xxhash.xxh3_128()
-        self._again = xxhash.xxh3_128()
+        self._forwarded_hash = xxhash.xxh3_128()
+        self._repeated_hash = xxhash.xxh3_128()
 
     def restart(self) -> None:
         """Record that the response of another attempt begins at byte 0."""
         self.received = 0
-        self._again = xxhash.xxh3_128()
+        self._repeated_hash = xxhash.xxh3_128()
 
     def accept(self, offset: int, data: bytes) -> bytes | failure_value.Failure:
         """Return the part of the data that was not forwarded yet."""
@@ -52,14 +52,14 @@
         repeated = data[: max(0, self.position - self.received)]
         self.received += len(data)
         if repeated:
-            self._again.update(repeated)
-            if not self._is_same_beginning():
+            self._repeated_hash.update(repeated)
+            if not self._is_same_prefix():
                 return failure_value.Failure(
                     code=codes.ANSWER_DIFFERS,
                     reason="answer: differs from what the caller saw",
                 )
         new = data[len(repeated) :]
-        self._seen.update(new)
+        self._forwarded_hash.update(new)
         self.position += len(new)
         return new
 
@@ -67,10 +67,10 @@
         """Return whether the response of ``size`` bytes is complete."""
         return self.received == size and self.position == size
 
-    def _is_same_beginning(self) -> bool:
+    def _is_same_prefix(self) -> bool:
         if self.received < self.position:
             return True
-        return self._again.digest() == self._seen.digest()
+        return self._repeated_hash.digest() == self._forwarded_hash.digest()
 
 
 def _broken(reason: str) -> failure_value.Failure:
--- a/packages/daisypick_core/tests/routing/test_dispatcher.py
+++ b/packages/daisypick_core/tests/routing/test_dispatcher.py
@@ -160,8 +160,8 @@
     subject.hear(busy, make_load(running=1), 0.0)
     subject.hear(free, make_load(running=1), 0.0)
     subject.submit(make_request("x"), 0.0)
-    (flight,) = subject._sender.flights._flight_by_request.values()
-    other = free if flight.agent == busy else busy
+    (waiting,) = subject._sender.flights._attempt_by_request.values()
+    other = free if waiting.agent == busy else busy
     (due,) = subject.hear(other, make_load(), 1.0)
     assert isinstance(due, actions.Withdraw)
     assert subject.hear(other, make_load(), 1.0) == []
@@ -334,7 +334,7 @@
     assert len(firsts) == 1
 
 
-def break_five(subject, now, **options):
+def break_five_attempts(subject, now, **options):
     requests = [
         make_request(f"r{n}", is_repeatable=False, idempotency_key=f"k{n}")
         for n in range(5)
@@ -353,7 +353,7 @@
     # incarnation, it would be suspended for many seconds while work waits.
     subject = make_dispatcher(count=1, window=9)
     subject.hear("127.0.0.1:0", make_load(limit=9), 0.0)
-    break_all = break_five(subject, 1.0)
+    break_all = break_five_attempts(subject, 1.0)
     subject.hear("127.0.0.1:0", make_load(incarnation="a2", limit=9), 1.0)
     break_all()
     (dispatch,) = subject.submit(make_request("next"), 1.0)
@@ -365,7 +365,7 @@
     # is suspended as after one failure, and is retried soon.
     subject = make_dispatcher(count=1, window=9)
     subject.hear("127.0.0.1:0", make_load(limit=9), 0.0)
-    break_all = break_five(subject, 1.0)
+    break_all = break_five_attempts(subject, 1.0)
     break_all()
     assert subject.submit(make_request("next"), 1.0) == []
     (dispatch,) = subject.tick(3.0)
@@ -377,7 +377,7 @@
     # each time. It must still get the work of others.
     subject = make_dispatcher(count=1, window=9)
     subject.hear("127.0.0.1:0", make_load(limit=9), 0.0)
-    break_all = break_five(subject, 1.0, is_answered=True)
+    break_all = break_five_attempts(subject, 1.0, is_answered=True)
     break_all()
     (dispatch,) = subject.submit(make_request("next"), 1.0)
     assert isinstance(dispatch, actions.Dispatch)
