--- a/spec/generations_spec.py
+++ b/spec/generations_spec.py
@@ -1,13 +1,13 @@
 """Specification of configuration generations: operators, store, processes.
 
-Two operators each try to put one change in force. Two processes learn the
-configuration from the store or from each other, by messages that may be late
-and doubled, and restart with nothing in memory. The store may be down.
-
-Properties: a generation has one content; an operator who is told of a
-conflict has changed nothing; a process never goes back to a lower generation
-than it has been ready with, not even across its restart; every process can
-still reach the newest generation.
+Two operators each try to put one change in force. Two processes receive the
+configuration from the store or from each other, by messages that may be
+delayed and duplicated, and restart without state. The store may be down.
+
+Properties: a generation has one content; an operator to whom a conflict is
+reported has changed nothing; a process never goes back to a lower generation
+than it has been ready with, even across a restart; every process can still
+reach the newest generation.
 """
 
 from collections.abc import Iterator
@@ -19,7 +19,7 @@
 PROCESSES = (0, 1)
 RESTARTS = 1
 
-# What an operator has been told.
+# Outcomes of a change, as reported to its operator.
 EDITING = "editing"
 LOST = "answer lost"
 ACCEPTED = "accepted"
@@ -39,20 +39,20 @@
     ),
 }
 
-# A root is the operators whose changes are in force, in order: its length is
-# the generation.
+# A root is the sequence of the operators whose changes are in force; its length
+# is the generation.
 Root = tuple[int, ...]
 
 
 class Operator(typing.NamedTuple):
-    """An operator: the root read, and what came of the write."""
+    """An operator: the root read, and the outcome of the write."""
 
     base: Root | None = None
     told: str = EDITING
 
 
 class Process(typing.NamedTuple):
-    """A process: the root in force and the highest it was ready with."""
+    """A process: the root in force, the highest generation served, restarts."""
 
     root: Root = ()
     is_ready: bool = False
@@ -62,7 +62,7 @@
 
 
 class World(typing.NamedTuple):
-    """The stored root, every root that was ever written, the outage."""
+    """The stored root, all roots ever written, and the store outage."""
 
     root: Root = ()
     written: frozenset[Root] = frozenset()
@@ -74,11 +74,11 @@
 
 
 class Specification:
-    """The transitions, with some safeguard removed."""
+    """The transitions, optionally without one safeguard."""
 
     def __init__(self, *, without: str | None = None) -> None:
         if without is not None and without not in SAFEGUARDS:
-            raise ValueError(f"without: {without!r} is no safeguard")
+            raise ValueError(f"without: {without!r} is not a safeguard")
         self._without = without
 
     def protocol(self) -> minicheck.Protocol:
@@ -177,7 +177,7 @@
             asked = self._take(process, world.root)._replace(is_ready=True)
             yield f"process {number} asks", self._install(state, place, asked)
         for root in world.written:
-            # A message that tells this root may arrive at any later time.
+            # A message with this root may arrive at any later time.
             heard = self._take(process, root)
             if not self._has(
                 "a restarted process is ready only after the store has answered"
@@ -197,7 +197,7 @@
         return process._replace(root=root)
 
     def _install(self, state: State, place: int, process: Process) -> State:
-        """Note what a process serves with, and whether it fell."""
+        """Record the generation a process serves, and whether it decreased."""
         if process.is_ready:
             generation = len(process.root)
             process = process._replace(
--- a/spec/once_safeguards.py
+++ b/spec/once_safeguards.py
@@ -1,19 +1,19 @@
-"""Safeguards of at most once, the properties that they keep, the faults.
+"""Safeguards of at-most-once execution, their properties, and the faults.
 
-Each safeguard can be removed from the specification; ``SAFEGUARDS`` says which
-property then breaks, and what it takes to show it.
+Each safeguard can be removed from the specification; ``SAFEGUARDS`` states
+which property is then violated, and which setting is needed to show it.
 """
 
 import typing
 
 
 class Removal(typing.NamedTuple):
-    """Where the removal of a safeguard shows.
+    """The effect of the removal of a safeguard.
 
     Attributes:
-        broken: The property that no longer holds.
-        faults: Faults that it takes.
-        attempts: Attempts that it takes.
+        broken: The property that is violated.
+        faults: Faults needed for the violation.
+        attempts: Number of attempts needed for the violation.
     """
 
     broken: str
--- a/spec/once_spec.py
+++ b/spec/once_spec.py
@@ -1,23 +1,26 @@
-"""Specification of at most once: one key, several attempts, any faults.
+"""Specification of at-most-once execution of one idempotency key.
 
 Callers send the same request, with one idempotency key, through several
-routers: each becomes an attempt at an agent. The model is the protocol alone:
-an offer, the gate's table, the claim in the store, the question to the holder
-of a key, withdrawing, draining, answers. Everything that can be late, lost or
-doubled is, in every order.
+routers; each becomes an attempt at an agent. The model covers the protocol
+only: offers, the gate's table, the claim in the store, the query to the holder
+of a key, withdrawal, draining and responses. Messages may be delayed, lost or
+duplicated, in every order.
 
 Abstractions, each of which allows more behaviour than the system has:
 
 * A batcher is a read and a conditional write that belong to one attempt but
-  live outside its agent: they go on after it gave up or restarted.
+  are independent of its agent: they continue after the agent gave up or
+  restarted.
 * An attempt's epoch is 0. An agent's epoch passes once (``is_late``); then
-  settled attempts are forgotten and offers of epoch 0 are stale.
-* Agent 0 restarts, drains and passes its epoch; the others only serve as
-  rivals, to keep the state space small. Agents are alike, so nothing is lost.
-
-Properties: at most one start in all; who was told "not run" has not run; who
-was given an answer belongs to a key that ran; nothing starts while draining;
-every caller can still be told something, without further faults.
+  finished attempts are forgotten and offers of epoch 0 are stale.
+* Only agent 0 restarts, drains and passes its epoch; the others only compete
+  for the key, to keep the state space small. The agents are symmetric, so this
+  loses no generality.
+
+Properties: at most one start in total; an attempt reported as "not run" has
+not run; an attempt with a response belongs to a key that ran; nothing starts
+while draining; every caller can still get a final outcome if no further faults
+occur.
 """
 
 from collections.abc import Iterator
@@ -31,7 +34,7 @@
 
 
 class Specification:
-    """The transitions, with some safeguards removed.
+    """The transitions, optionally without one safeguard.
 
     Attempt ``n`` belongs to agent ``n % agents``.
     """
@@ -46,7 +49,7 @@
         with_calm: bool = False,
     ) -> None:
         if without is not None and without not in safeguards.SAFEGUARDS:
-            raise ValueError(f"without: {without!r} is no safeguard")
+            raise ValueError(f"without: {without!r} is not a safeguard")
         self._count = attempts
         self._agents = agents
         self._without = without
@@ -92,7 +95,7 @@
         return safeguard != self._without
 
     def _is_mine(self, number: int) -> bool:
-        """Tell whether an attempt is at agent 0, the one with faults."""
+        """Return whether an attempt is at agent 0, the one with faults."""
         return number % self._agents == 0
 
     def _steps(self, state: State) -> Iterator[Step]:
@@ -192,7 +195,7 @@
             yield f"resend {number}", _with(state, number, resent)
 
     def _offer(self, state: State, number: int, *, is_heard: bool) -> State:
-        """Deliver an offer; the caller hears what it leads to."""
+        """Deliver an offer; ``is_heard``: the caller receives the response."""
         attempt = state[number]
         refused = attempt
         if is_heard:
@@ -225,10 +228,10 @@
         return is_stale and self._has("an offer of a stale epoch is refused")
 
     def _judge_resent(self, state: State, offered: State, number: int) -> State:
-        """Correct what the caller makes of a stale refusal.
+        """Correct the caller's conclusion from a refusal as stale.
 
-        The first copy of the offer may have run at the predecessor, or in
-        an epoch that is forgotten.
+        The first copy of the offer may have run in an earlier incarnation of
+        the agent, or in an epoch that is forgotten.
         """
         is_stale = self._is_refused_as_stale(state, number)
         if is_stale and self._has(
@@ -239,7 +242,7 @@
         return offered
 
     def _withdraw(self, state: State, number: int) -> State:
-        """Let the router ask or withdraw, and hear the answer."""
+        """Let the router query or withdraw, and receive the response."""
         attempt = state[number]
         if self._is_mine(number) and state[-1].has_restarted:
             unknown = attempt._replace(caller=once_state.UNKNOWN)
@@ -331,7 +334,7 @@
         return self._start(state, number)
 
     def _give_up(self, state: State, number: int) -> State:
-        """Refuse a claim that the store did not settle in time."""
+        """Refuse a claim that the store did not decide in time."""
         return _with(
             state, number, self._bar(state[number], once_state.NOT_RUN)
         )
@@ -399,7 +402,7 @@
         yield f"write lost {number}", _with(state, number, lost)
 
     def _question(self, state: State, number: int, holder: int) -> State:
-        """Ask the holder's agent what became of its attempt."""
+        """Query the holder's agent for the outcome of its attempt."""
         attempt = state[number]._replace(snapshot=None)
         asked = state[holder]
         is_gone = self._is_mine(holder) and state[-1].has_restarted
--- a/spec/once_state.py
+++ b/spec/once_state.py
@@ -1,10 +1,10 @@
-"""State of the specification of at most once: attempts and the world."""
+"""State of the specification of at-most-once execution."""
 
 import typing
 
-# What the caller of an attempt sees: its offer is on the way, its connection
-# is open, broken (the router must ask), its offer is sent again; then one of
-# the three final answers.
+# State of an attempt at its caller: the offer is in transit, the connection is
+# open or broken (the router must query), the offer is resent; then one of the
+# three final outcomes.
 SENDING = "sending"
 OPEN = "open"
 BROKEN = "broken"
@@ -14,7 +14,7 @@
 ANSWER = "answer"
 FINAL = frozenset({NOT_RUN, UNKNOWN, ANSWER})
 
-# What the gate's table says of an attempt.
+# State of an attempt in the gate's table.
 NEW = "new"
 WAITING = "waiting"
 CLAIMING = "claiming"
@@ -27,13 +27,13 @@
     """One attempt: its caller, its gate, its claim, and what happened.
 
     Attributes:
-        caller: What its caller sees.
-        copies: Offers under way whose answers nobody hears.
-        gate: What the table of its agent says.
+        caller: Its state at the caller.
+        copies: Offers in transit whose responses are not received.
+        gate: Its state in the table of its agent's gate.
         snapshot: Version and holder that its batcher read, if any.
-        is_granted: Whether a grant is on its way to the agent.
-        replaces: Attempt that, as its agent said, never ran.
-        starts: How often it started at a backend server.
+        is_granted: Whether a grant is in transit to the agent.
+        replaces: Attempt that, according to its agent, never ran.
+        starts: Number of its starts at a backend server.
     """
 
     caller: str = SENDING
@@ -46,17 +46,17 @@
 
 
 class World(typing.NamedTuple):
-    """All the state that is not an attempt's.
+    """The state shared by all attempts.
 
     Attributes:
         version: Version of the stored head.
         holder: Attempt that holds the key.
         has_restarted: Whether agent 0 has restarted.
         is_late: Whether the epoch of agent 0 has passed.
-        is_draining: Whether agent 0 drains.
-        started_draining: Whether anything started while it drained.
-        is_down: Whether the store is down for good.
-        is_calm: Whether no further fault happens.
+        is_draining: Whether agent 0 is draining.
+        started_draining: Whether an attempt started while it was draining.
+        is_down: Whether the store is permanently down.
+        is_calm: Whether no further faults occur.
     """
 
     version: int = 0
--- a/spec/spans_spec.py
+++ b/spec/spans_spec.py
@@ -1,13 +1,14 @@
 """Specification of a claim shard: one key, two batchers, head and spans.
 
-The head alone decides who holds a key. When it is full, its entries move into
-a span, and spans are forgotten by age. Two batchers do all of this at once;
-each may lose its memory at any moment, between any two calls to the store.
+The head alone decides which attempt holds a key. When it is full, its entries
+move into a span, and spans are forgotten by age. Two batchers do this
+concurrently; each may crash and lose its state between any two calls to the
+store.
 
-Property: a key is granted anew only to an attempt that may replace the holder
+Property: a key is granted again only to an attempt that may replace the holder
 (attempt 1 may replace attempt 0), or ``REMEMBER`` ticks after its last grant.
-The clock is the same for all here; the batchers use it only to measure how
-long they themselves have watched a span.
+The model has one clock; the batchers use it only to measure how long they have
+watched a span themselves.
 """
 
 from collections.abc import Iterator
@@ -20,7 +21,7 @@
 SPANS = 2
 ABSENT = "absent"
 
-# The one takeover that is allowed: the agent of attempt 0 has barred it.
+# The only takeover allowed: the agent of attempt 0 has barred attempt 0.
 ATTEMPTS = (0, 1)
 REPLACES = {1: 0}
 
@@ -35,7 +36,7 @@
 
 
 class Head(typing.NamedTuple):
-    """The head: its version, the spans that count, who holds the key."""
+    """The head: its version, the range of valid spans, the key's holder."""
 
     version: int = 0
     first: int = 0
@@ -44,13 +45,13 @@
 
 
 class Batcher(typing.NamedTuple):
-    """What a batcher remembers.
+    """The state of a batcher.
 
     Attributes:
         head: The head as last read or written.
-        sealed: The key's holder in span ``head.next``; ``ABSENT`` if that
-            span is not stored, as far as is known.
-        seen_at: When each span was first seen to count.
+        sealed: The key's holder in span ``head.next``; ``ABSENT`` if the
+            batcher does not know of a stored span there.
+        seen_at: Time at which each span was first seen to be valid.
     """
 
     head: Head | None = None
@@ -59,15 +60,15 @@
 
 
 class Store(typing.NamedTuple):
-    """Head and spans as stored, and the time.
+    """Head and spans as stored, the time, and the last grant.
 
     Attributes:
         head: The head.
         spans: The key's holder in each span, ``ABSENT`` if not stored.
         now: The time, ticks.
-        granted_to: Whom the key was last granted to.
-        granted_at: When that was.
-        has_broken: Whether it was granted when it must not be.
+        granted_to: Attempt to which the key was last granted.
+        granted_at: Time of the last grant, ticks.
+        has_broken: Whether the property was violated.
     """
 
     head: Head = Head()
@@ -83,11 +84,11 @@
 
 
 class Specification:
-    """The transitions, with some safeguard removed."""
+    """The transitions, optionally without one safeguard."""
 
     def __init__(self, *, without: str | None = None) -> None:
         if without is not None and without not in SAFEGUARDS:
-            raise ValueError(f"without: {without!r} is no safeguard")
+            raise ValueError(f"without: {without!r} is not a safeguard")
         self._without = without
 
     def protocol(self) -> minicheck.Protocol:
@@ -146,7 +147,7 @@
         return batcher._replace(seen_at=seen_at)
 
     def _seal(self, state: State, number: int) -> State:
-        """Store the head's entries as a span, or find one in the way."""
+        """Store the head's entries as a span, or find that one exists."""
         store = state[-1]
         batcher = state[number]
         span = batcher.head.next
@@ -198,7 +199,7 @@
         return found[0] if found else None
 
     def _commit(self, state: State, number: int, attempt: int | None) -> State:
-        """Write the head: seal, forget, and grant, all at once."""
+        """Write the head: seal, forget and grant in one update."""
         store = state[-1]
         batcher = state[number]
         head = batcher.head
@@ -206,7 +207,7 @@
         if not is_current and self._has(
             "the head is written by conditional update"
         ):
-            # The conflict is seen; the head must be read again.
+            # On a conflict the head must be read again.
             again = batcher._replace(head=None, sealed=ABSENT)
             return _with(state, number, again, store)
         new = self._new_head(batcher, attempt, store.now)
@@ -237,7 +238,7 @@
         return head
 
     def _grant(self, store: Store, attempt: int) -> Store:
-        """Note a grant, and whether it is one that must not be."""
+        """Record a grant, and whether it violates the property."""
         is_takeover = REPLACES.get(attempt) == store.granted_to
         granted_at = store.granted_at
         is_early = granted_at is not None and store.now - granted_at < REMEMBER
--- a/spec/test_generations_spec.py
+++ b/spec/test_generations_spec.py
@@ -3,7 +3,7 @@
 import pytest
 
 
-def test_safety_holds_and_every_process_can_learn_the_newest():
+def test_safety_holds_and_every_process_can_reach_the_newest():
     protocol = generations_spec.Specification().protocol()
     result = minicheck.check_safety(protocol)
     assert result["exhaustive"]
--- a/spec/test_once_spec.py
+++ b/spec/test_once_spec.py
@@ -3,12 +3,13 @@
 import once_spec
 import pytest
 
-# A refutation needs only a part of the space: look at growing parts of it.
+# Counterexamples are usually found in a small part of the state space, so the
+# search limit grows step by step.
 _PARTS = (300, 3_000, 30_000, 300_000)
 
 
 def broken_by(specification):
-    """Return the properties of which a counterexample is found."""
+    """Return the properties for which a counterexample is found."""
     protocol = specification.protocol()
     for max_states in _PARTS:
         result = minicheck.check_safety(protocol, max_states=max_states)
