--- a/spec/generations_spec.py
+++ b/spec/generations_spec.py
@@ -20,22 +20,22 @@
 RESTARTS = 1
 
 # Outcomes of a change, as reported to its operator.
-EDITING = "editing"
+IN_PROGRESS = "editing"
 LOST = "answer lost"
 ACCEPTED = "accepted"
 CONFLICT = "conflict"
 
 ONE_CONTENT = "a generation has one content"
 CONFLICT_IS_TRUE = "a conflict has changed nothing"
-NEVER_FALLS = "a generation never falls"
+NEVER_REGRESSES = "a generation never falls"
 
 SAFEGUARDS = {
     "the root is written by conditional update": ONE_CONTENT,
     "a lost answer is settled by reading back": CONFLICT_IS_TRUE,
     "the root names the latest changes": CONFLICT_IS_TRUE,
-    "a lower generation is ignored": NEVER_FALLS,
+    "a lower generation is ignored": NEVER_REGRESSES,
     "a restarted process is ready only after the store has answered": (
-        NEVER_FALLS
+        NEVER_REGRESSES
     ),
 }
 
@@ -48,7 +48,7 @@
     """An operator: the root read, and the outcome of the write."""
 
     base: Root | None = None
-    told: str = EDITING
+    outcome: str = IN_PROGRESS
 
 
 class Process(typing.NamedTuple):
@@ -56,7 +56,7 @@
 
     root: Root = ()
     is_ready: bool = False
-    has_fallen: bool = False
+    has_regressed: bool = False
     highest: int = 0
     restarts: int = 0
 
@@ -100,10 +100,10 @@
                 CONFLICT_IS_TRUE: lambda d: all(
                     not _is_in(n, d["world"].written)
                     for n in OPERATORS
-                    if d[f"operator{n}"].told == CONFLICT
+                    if d[f"operator{n}"].outcome == CONFLICT
                 ),
-                NEVER_FALLS: lambda d: (
-                    not any(d[name].has_fallen for name in processes)
+                NEVER_REGRESSES: lambda d: (
+                    not any(d[name].has_regressed for name in processes)
                 ),
             },
             goal=lambda d: all(
@@ -131,35 +131,35 @@
     def _operator_steps(self, state: State, number: int) -> Iterator[Step]:
         operator = state[number]
         world = state[-1]
-        if operator.told == EDITING and operator.base is None:
+        if operator.outcome == IN_PROGRESS and operator.base is None:
             read = operator._replace(base=world.root)
             yield f"operator {number} reads", _with(state, number, read)
-        elif operator.told == EDITING:
+        elif operator.outcome == IN_PROGRESS:
             yield from self._write_steps(state, number)
-        elif operator.told == LOST:
-            told = self._read_back(operator, world.root, number)
-            settled = operator._replace(told=told)
+        elif operator.outcome == LOST:
+            outcome = self._read_back(operator, world.root, number)
+            settled = operator._replace(outcome=outcome)
             yield f"operator {number} reads back", _with(state, number, settled)
 
     def _write_steps(self, state: State, number: int) -> Iterator[Step]:
         operator = state[number]
         world = state[-1]
-        lost = operator._replace(told=LOST)
+        lost = operator._replace(outcome=LOST)
         if not self._has("a lost answer is settled by reading back"):
-            lost = operator._replace(told=CONFLICT)
+            lost = operator._replace(outcome=CONFLICT)
         is_current = operator.base == world.root
         if not is_current and self._has(
             "the root is written by conditional update"
         ):
-            refused = operator._replace(told=CONFLICT)
+            refused = operator._replace(outcome=CONFLICT)
             yield f"operator {number} conflicts", _with(state, number, refused)
             yield f"operator {number} loses", _with(state, number, lost)
             return
         root = (*operator.base, number)
         stored = world._replace(root=root, written=world.written | {root})
-        accepted = operator._replace(told=ACCEPTED)
-        for told in (accepted, lost):
-            written = _with(state, number, told)
+        accepted = operator._replace(outcome=ACCEPTED)
+        for result in (accepted, lost):
+            written = _with(state, number, result)
             yield f"operator {number} writes", (*written[:-1], stored)
 
     def _read_back(self, operator: Operator, root: Root, number: int) -> str:
@@ -170,41 +170,47 @@
     # Processes.
 
     def _process_steps(self, state: State, number: int) -> Iterator[Step]:
-        place = len(OPERATORS) + number
-        process = state[place]
+        index = len(OPERATORS) + number
+        process = state[index]
         world = state[-1]
         if not world.is_down:
-            asked = self._take(process, world.root)._replace(is_ready=True)
-            yield f"process {number} asks", self._install(state, place, asked)
+            queried = self._receive(process, world.root)._replace(is_ready=True)
+            yield (
+                f"process {number} asks",
+                self._activate(state, index, queried),
+            )
         for root in world.written:
             # A message with this root may arrive at any later time.
-            heard = self._take(process, root)
+            received = self._receive(process, root)
             if not self._has(
                 "a restarted process is ready only after the store has answered"
             ):
-                heard = heard._replace(is_ready=True)
-            yield f"process {number} hears", self._install(state, place, heard)
+                received = received._replace(is_ready=True)
+            yield (
+                f"process {number} hears",
+                self._activate(state, index, received),
+            )
         if process.restarts < RESTARTS:
             restarted = process._replace(
                 root=(), is_ready=False, restarts=process.restarts + 1
             )
-            yield f"process {number} restarts", _with(state, place, restarted)
+            yield f"process {number} restarts", _with(state, index, restarted)
 
-    def _take(self, process: Process, root: Root) -> Process:
+    def _receive(self, process: Process, root: Root) -> Process:
         is_lower = len(root) < len(process.root)
         if is_lower and self._has("a lower generation is ignored"):
             return process
         return process._replace(root=root)
 
-    def _install(self, state: State, place: int, process: Process) -> State:
+    def _activate(self, state: State, index: int, process: Process) -> State:
         """Record the generation a process serves, and whether it decreased."""
         if process.is_ready:
             generation = len(process.root)
             process = process._replace(
-                has_fallen=generation < process.highest,
+                has_regressed=generation < process.highest,
                 highest=max(process.highest, generation),
             )
-        return _with(state, place, process)
+        return _with(state, index, process)
 
 
 def _has_one_content(written: frozenset[Root]) -> bool:
@@ -215,6 +221,6 @@
     return any(operator in root for root in written)
 
 
-def _with(state: State, place: int, part: Operator | Process) -> State:
+def _with(state: State, index: int, part: Operator | Process) -> State:
     """Return the state with one operator or process replaced."""
-    return (*state[:place], part, *state[place + 1 :])
+    return (*state[:index], part, *state[index + 1 :])
--- a/spec/once_safeguards.py
+++ b/spec/once_safeguards.py
@@ -11,12 +11,12 @@
     """The effect of the removal of a safeguard.
 
     Attributes:
-        broken: The property that is violated.
+        violated: The property that is violated.
         faults: Faults needed for the violation.
         attempts: Number of attempts needed for the violation.
     """
 
-    broken: str
+    violated: str
     faults: frozenset[str] = frozenset()
     attempts: int = 2
 
--- a/spec/once_spec.py
+++ b/spec/once_spec.py
@@ -11,7 +11,7 @@
 * A batcher is a read and a conditional write that belong to one attempt but
   are independent of its agent: they continue after the agent gave up or
   restarted.
-* An attempt's epoch is 0. An agent's epoch passes once (``is_late``); then
+* An attempt's epoch is 0. An agent's epoch passes once (``epoch_passed``); then
   finished attempts are forgotten and offers of epoch 0 are stale.
 * Only agent 0 restarts, drains and passes its epoch; the others only compete
   for the key, to keep the state space small. The agents are symmetric, so this
@@ -46,7 +46,7 @@
         agents: int = 2,
         without: str | None = None,
         faults: frozenset[str] = safeguards.ALL_FAULTS,
-        with_calm: bool = False,
+        with_fault_stop: bool = False,
     ) -> None:
         if without is not None and without not in safeguards.SAFEGUARDS:
             raise ValueError(f"without: {without!r} is not a safeguard")
@@ -54,7 +54,7 @@
         self._agents = agents
         self._without = without
         self._faults = faults
-        self._with_calm = with_calm
+        self._with_fault_stop = with_fault_stop
 
     def protocol(self) -> minicheck.Protocol:
         """Return the model for the checker."""
@@ -94,7 +94,7 @@
         assert safeguard in safeguards.SAFEGUARDS
         return safeguard != self._without
 
-    def _is_mine(self, number: int) -> bool:
+    def _is_at_faulty_agent(self, number: int) -> bool:
         """Return whether an attempt is at agent 0, the one with faults."""
         return number % self._agents == 0
 
@@ -104,10 +104,10 @@
             yield from self._gate_steps(state, number)
             yield from self._claim_steps(state, number)
         world = state[-1]
-        if not world.is_calm:
+        if not world.faults_stopped:
             yield from self._fault_steps(state)
-        if self._with_calm and not world.is_calm:
-            yield "calm", (*state[:-1], world._replace(is_calm=True))
+        if self._with_fault_stop and not world.faults_stopped:
+            yield "calm", (*state[:-1], world._replace(faults_stopped=True))
 
     # Faults.
 
@@ -115,7 +115,7 @@
         world = state[-1]
         if safeguards.RESTART in self._faults and not world.has_restarted:
             yield "restart", self._restart(state)
-        if safeguards.EPOCH in self._faults and not world.is_late:
+        if safeguards.EPOCH in self._faults and not world.epoch_passed:
             yield "epoch", self._pass_epoch(state)
         if safeguards.DRAIN in self._faults and not world.is_draining:
             yield "drain", self._drain(state)
@@ -125,15 +125,17 @@
     def _restart(self, state: State) -> State:
         """Lose the table and the connections of agent 0."""
         attempts = [
-            self._lose(attempt) if self._is_mine(number) else attempt
+            self._lose_state(attempt)
+            if self._is_at_faulty_agent(number)
+            else attempt
             for number, attempt in enumerate(state[:-1])
         ]
         world = state[-1]._replace(
-            has_restarted=True, is_late=False, is_draining=False
+            has_restarted=True, epoch_passed=False, is_draining=False
         )
         return (*attempts, world)
 
-    def _lose(self, attempt: once_state.Attempt) -> once_state.Attempt:
+    def _lose_state(self, attempt: once_state.Attempt) -> once_state.Attempt:
         caller = (
             once_state.BROKEN
             if attempt.caller == once_state.OPEN
@@ -146,17 +148,18 @@
     def _pass_epoch(self, state: State) -> State:
         attempts = [
             attempt._replace(gate=once_state.NEW)
-            if self._is_mine(number)
+            if self._is_at_faulty_agent(number)
             and attempt.gate in (once_state.DONE, once_state.BARRED)
             else attempt
             for number, attempt in enumerate(state[:-1])
         ]
-        return (*attempts, state[-1]._replace(is_late=True))
+        return (*attempts, state[-1]._replace(epoch_passed=True))
 
     def _drain(self, state: State) -> State:
         attempts = [
             self._bar(attempt, once_state.NOT_RUN)
-            if self._is_mine(number) and attempt.gate == once_state.WAITING
+            if self._is_at_faulty_agent(number)
+            and attempt.gate == once_state.WAITING
             else attempt
             for number, attempt in enumerate(state[:-1])
         ]
@@ -166,12 +169,14 @@
 
     def _caller_steps(self, state: State, number: int) -> Iterator[Step]:
         attempt = state[number]
-        can_cut = safeguards.CUT in self._faults and not state[-1].is_calm
+        can_cut = (
+            safeguards.CUT in self._faults and not state[-1].faults_stopped
+        )
         if attempt.caller in (once_state.SENDING, once_state.RESENDING):
             is_resent = attempt.caller == once_state.RESENDING
-            offered = self._offer(state, number, is_heard=True)
+            offered = self._offer(state, number, is_received=True)
             if is_resent:
-                offered = self._judge_resent(state, offered, number)
+                offered = self._correct_resent(state, offered, number)
             yield f"offer {number}", offered
             if can_cut and not is_resent:
                 late = attempt._replace(caller=once_state.BROKEN, copies=1)
@@ -179,7 +184,7 @@
         if attempt.copies:
             rest = attempt._replace(copies=attempt.copies - 1)
             copied = _with(state, number, rest)
-            offered = self._offer(copied, number, is_heard=False)
+            offered = self._offer(copied, number, is_received=False)
             yield f"late offer {number}", offered
         if attempt.caller == once_state.OPEN:
             if can_cut:
@@ -194,11 +199,11 @@
             resent = attempt._replace(caller=once_state.RESENDING)
             yield f"resend {number}", _with(state, number, resent)
 
-    def _offer(self, state: State, number: int, *, is_heard: bool) -> State:
-        """Deliver an offer; ``is_heard``: the caller receives the response."""
+    def _offer(self, state: State, number: int, *, is_received: bool) -> State:
+        """Deliver an offer; its caller gets the response if ``is_received``."""
         attempt = state[number]
         refused = attempt
-        if is_heard:
+        if is_received:
             attempt = attempt._replace(caller=once_state.OPEN)
             refused = attempt._replace(caller=once_state.NOT_RUN)
         if self._is_refused_as_stale(state, number):
@@ -207,10 +212,10 @@
             return _with(state, number, refused)
         is_known = attempt.gate != once_state.NEW
         if is_known and self._has("a known attempt is not taken in again"):
-            if is_heard and attempt.gate == once_state.DONE:
+            if is_received and attempt.gate == once_state.DONE:
                 attempt = attempt._replace(caller=once_state.ANSWER)
             return _with(state, number, attempt)
-        if self._is_mine(number) and state[-1].is_draining:
+        if self._is_at_faulty_agent(number) and state[-1].is_draining:
             return _with(
                 state, number, refused._replace(gate=once_state.BARRED)
             )
@@ -218,16 +223,18 @@
 
     def _is_refused_as_stale(self, state: State, number: int) -> bool:
         world = state[-1]
-        if not self._is_mine(number):
+        if not self._is_at_faulty_agent(number):
             return False
         if world.has_restarted and self._has(
             "an offer for an earlier incarnation is refused"
         ):
             return True
-        is_stale = world.is_late and state[number].gate == once_state.NEW
+        is_stale = world.epoch_passed and state[number].gate == once_state.NEW
         return is_stale and self._has("an offer of a stale epoch is refused")
 
-    def _judge_resent(self, state: State, offered: State, number: int) -> State:
+    def _correct_resent(
+        self, state: State, offered: State, number: int
+    ) -> State:
         """Correct the caller's conclusion from a refusal as stale.
 
         The first copy of the offer may have run in an earlier incarnation of
@@ -244,14 +251,14 @@
     def _withdraw(self, state: State, number: int) -> State:
         """Let the router query or withdraw, and receive the response."""
         attempt = state[number]
-        if self._is_mine(number) and state[-1].has_restarted:
+        if self._is_at_faulty_agent(number) and state[-1].has_restarted:
             unknown = attempt._replace(caller=once_state.UNKNOWN)
             return _with(state, number, unknown)
         if attempt.gate in (once_state.RUNNING, once_state.CLAIMING):
-            is_safe = attempt.gate == once_state.RUNNING or self._has(
+            is_kept_open = attempt.gate == once_state.RUNNING or self._has(
                 "an attempt that is being claimed is not called not run"
             )
-            caller = once_state.OPEN if is_safe else once_state.NOT_RUN
+            caller = once_state.OPEN if is_kept_open else once_state.NOT_RUN
             return _with(state, number, attempt._replace(caller=caller))
         if attempt.gate == once_state.DONE:
             return _with(
@@ -268,7 +275,7 @@
         return _with(state, number, barred)
 
     def _is_forgotten(self, state: State, number: int) -> bool:
-        is_old = self._is_mine(number) and state[-1].is_late
+        is_old = self._is_at_faulty_agent(number) and state[-1].epoch_passed
         return (
             is_old
             and state[number].gate == once_state.NEW
@@ -309,7 +316,7 @@
             gate=once_state.RUNNING, is_granted=False, starts=attempt.starts + 1
         )
         world = state[-1]
-        if self._is_mine(number) and world.is_draining:
+        if self._is_at_faulty_agent(number) and world.is_draining:
             world = world._replace(started_draining=True)
         return (*_with(state, number, started)[:-1], world)
 
@@ -323,7 +330,7 @@
                 return self._start(state, number)
             ignored = attempt._replace(is_granted=False)
             return _with(state, number, ignored)
-        is_draining = self._is_mine(number) and state[-1].is_draining
+        is_draining = self._is_at_faulty_agent(number) and state[-1].is_draining
         if is_draining and self._has(
             "a grant that arrives while draining starts nothing"
         ):
@@ -340,9 +347,11 @@
         )
 
     def _bar(
-        self, attempt: once_state.Attempt, told: str
+        self, attempt: once_state.Attempt, reported: str
     ) -> once_state.Attempt:
-        caller = told if attempt.caller == once_state.OPEN else attempt.caller
+        caller = (
+            reported if attempt.caller == once_state.OPEN else attempt.caller
+        )
         return attempt._replace(gate=once_state.BARRED, caller=caller)
 
     # The claim.
@@ -370,7 +379,10 @@
         elif holder is None or self._may_replace(attempt, holder):
             yield from self._write_steps(state, number)
         elif is_claiming:
-            yield f"question {number}", self._question(state, number, holder)
+            yield (
+                f"question {number}",
+                self._query_holder(state, number, holder),
+            )
 
     def _may_replace(self, attempt: once_state.Attempt, holder: int) -> bool:
         if self._has(
@@ -393,7 +405,7 @@
         granted = again._replace(is_granted=attempt.gate == once_state.CLAIMING)
         written = (*_with(state, number, granted)[:-1], stored)
         yield f"write {number}", written
-        if safeguards.STORE not in self._faults or world.is_calm:
+        if safeguards.STORE not in self._faults or world.faults_stopped:
             return
         lost = again
         if not self._has("a lost answer is settled by reading back"):
@@ -401,31 +413,31 @@
         yield f"lost write {number}", (*_with(state, number, lost)[:-1], stored)
         yield f"write lost {number}", _with(state, number, lost)
 
-    def _question(self, state: State, number: int, holder: int) -> State:
+    def _query_holder(self, state: State, number: int, holder: int) -> State:
         """Query the holder's agent for the outcome of its attempt."""
         attempt = state[number]._replace(snapshot=None)
-        asked = state[holder]
-        is_gone = self._is_mine(holder) and state[-1].has_restarted
+        queried = state[holder]
+        is_gone = self._is_at_faulty_agent(holder) and state[-1].has_restarted
         if is_gone and self._has("a restarted holder says that it cannot know"):
             return _with(state, number, self._bar(attempt, once_state.UNKNOWN))
-        if asked.gate == once_state.CLAIMING and not self._has(
+        if queried.gate == once_state.CLAIMING and not self._has(
             "a holder that is being claimed keeps its key"
         ):
             return _with(state, number, attempt._replace(replaces=holder))
-        if asked.gate in (
+        if queried.gate in (
             once_state.CLAIMING,
             once_state.RUNNING,
             once_state.DONE,
         ):
-            told = (
+            reported = (
                 once_state.ANSWER
-                if asked.gate == once_state.DONE
+                if queried.gate == once_state.DONE
                 else once_state.UNKNOWN
             )
-            return _with(state, number, self._bar(attempt, told))
+            return _with(state, number, self._bar(attempt, reported))
         if self._is_forgotten(state, holder):
             return _with(state, number, self._bar(attempt, once_state.UNKNOWN))
-        state = _with(state, holder, self._bar(asked, once_state.NOT_RUN))
+        state = _with(state, holder, self._bar(queried, once_state.NOT_RUN))
         return _with(state, number, attempt._replace(replaces=holder))
 
 
--- a/spec/once_state.py
+++ b/spec/once_state.py
@@ -52,18 +52,18 @@
         version: Version of the stored head.
         holder: Attempt that holds the key.
         has_restarted: Whether agent 0 has restarted.
-        is_late: Whether the epoch of agent 0 has passed.
+        epoch_passed: Whether the epoch of agent 0 has passed.
         is_draining: Whether agent 0 is draining.
         started_draining: Whether an attempt started while it was draining.
         is_down: Whether the store is permanently down.
-        is_calm: Whether no further faults occur.
+        faults_stopped: Whether no further faults occur.
     """
 
     version: int = 0
     holder: int | None = None
     has_restarted: bool = False
-    is_late: bool = False
+    epoch_passed: bool = False
     is_draining: bool = False
     started_draining: bool = False
     is_down: bool = False
-    is_calm: bool = False
+    faults_stopped: bool = False
--- a/spec/spans_spec.py
+++ b/spec/spans_spec.py
@@ -68,7 +68,7 @@
         now: The time, ticks.
         granted_to: Attempt to which the key was last granted.
         granted_at: Time of the last grant, ticks.
-        has_broken: Whether the property was violated.
+        is_violated: Whether the property was violated.
     """
 
     head: Head = Head()
@@ -76,7 +76,7 @@
     now: int = 0
     granted_to: int | None = None
     granted_at: int | None = None
-    has_broken: bool = False
+    is_violated: bool = False
 
 
 State = tuple
@@ -100,7 +100,9 @@
             initial=(Batcher(), Batcher(), Store()),
             transitions=lambda state: list(self._steps(state)),
             invariants={
-                "a held key is not granted": lambda d: not d["store"].has_broken
+                "a held key is not granted": lambda d: (
+                    not d["store"].is_violated
+                )
             },
         )
 
@@ -110,7 +112,7 @@
 
     def _steps(self, state: State) -> Iterator[Step]:
         store = state[-1]
-        if store.has_broken:
+        if store.is_violated:
             return
         if store.now < LAST_TICK:
             yield "tick", (*state[:-1], store._replace(now=store.now + 1))
@@ -123,7 +125,7 @@
             yield f"read {number}", self._read(state, number)
             if batcher.sealed == ABSENT and batcher.head.next < SPANS:
                 yield f"seal {number}", self._seal(state, number)
-            if batcher.sealed != ABSENT or self._is_old(batcher, store.now):
+            if batcher.sealed != ABSENT or self._can_forget(batcher, store.now):
                 yield f"tidy {number}", self._commit(state, number, None)
             for attempt in ATTEMPTS:
                 yield (
@@ -152,19 +154,19 @@
         batcher = state[number]
         span = batcher.head.next
         content = batcher.head.holder
-        is_there = store.spans[span] != ABSENT
+        exists = store.spans[span] != ABSENT
         if not self._has(
             "a span is stored before the head lets go of its entries"
         ):
             return _with(state, number, batcher._replace(sealed=content), store)
-        if is_there and self._has("a span is written once"):
+        if exists and self._has("a span is written once"):
             found = batcher._replace(sealed=store.spans[span])
             return _with(state, number, found, store)
         spans = (*store.spans[:span], content, *store.spans[span + 1 :])
         sealed = batcher._replace(sealed=content)
         return _with(state, number, sealed, store._replace(spans=spans))
 
-    def _is_old(self, batcher: Batcher, now: int) -> bool:
+    def _can_forget(self, batcher: Batcher, now: int) -> bool:
         first = batcher.head.first
         if first >= batcher.head.next:
             return False
@@ -192,10 +194,10 @@
         ]
         if batcher.sealed != ABSENT:
             sealed.insert(0, batcher.sealed)
-        places = [head.holder, *sealed]
+        holders = [head.holder, *sealed]
         if not self._has("the head is looked up before the spans"):
-            places = [*sealed, head.holder]
-        found = [holder for holder in places if holder not in (None, ABSENT)]
+            holders = [*sealed, head.holder]
+        found = [holder for holder in holders if holder not in (None, ABSENT)]
         return found[0] if found else None
 
     def _commit(self, state: State, number: int, attempt: int | None) -> State:
@@ -224,7 +226,7 @@
         self, batcher: Batcher, attempt: int | None, now: int
     ) -> Head:
         head = batcher.head
-        if self._is_old(batcher, now):
+        if self._can_forget(batcher, now):
             head = head._replace(first=head.first + 1)
         if batcher.sealed != ABSENT:
             is_held = head.holder == batcher.sealed
@@ -245,7 +247,7 @@
         return store._replace(
             granted_to=attempt,
             granted_at=store.now,
-            has_broken=is_early and not is_takeover,
+            is_violated=is_early and not is_takeover,
         )
 
 
--- a/spec/test_generations_spec.py
+++ b/spec/test_generations_spec.py
@@ -16,5 +16,5 @@
 def test_removal_of_a_safeguard_gives_a_counterexample(safeguard):
     specification = generations_spec.Specification(without=safeguard)
     result = minicheck.check_safety(specification.protocol())
-    broken = generations_spec.SAFEGUARDS[safeguard]
-    assert result["properties"][broken]["holds"] is False
+    violated = generations_spec.SAFEGUARDS[safeguard]
+    assert result["properties"][violated]["holds"] is False
--- a/spec/test_once_spec.py
+++ b/spec/test_once_spec.py
@@ -5,21 +5,21 @@
 
 # Counterexamples are usually found in a small part of the state space, so the
 # search limit grows step by step.
-_PARTS = (300, 3_000, 30_000, 300_000)
+_STATE_LIMITS = (300, 3_000, 30_000, 300_000)
 
 
-def broken_by(specification):
+def violated_by(specification):
     """Return the properties for which a counterexample is found."""
     protocol = specification.protocol()
-    for max_states in _PARTS:
+    for max_states in _STATE_LIMITS:
         result = minicheck.check_safety(protocol, max_states=max_states)
-        broken = {
+        violated = {
             name
             for name, verdict in result["properties"].items()
             if verdict["holds"] is False
         }
-        if broken or result["exhaustive"]:
-            return broken
+        if violated or result["exhaustive"]:
+            return violated
     raise AssertionError("the search did not finish")
 
 
@@ -54,7 +54,7 @@
 )
 def test_every_request_ends_without_further_faults(faults):
     specification = once_spec.Specification(
-        faults=frozenset(faults), with_calm=True
+        faults=frozenset(faults), with_fault_stop=True
     )
     assert minicheck.check_liveness(specification.protocol())["holds"] is True
 
@@ -65,14 +65,14 @@
     settings = {
         "attempts": removal.attempts,
         "faults": removal.faults,
-        "with_calm": removal.broken == safeguards.REQUEST_ENDS,
+        "with_fault_stop": removal.violated == safeguards.REQUEST_ENDS,
     }
     intact = once_spec.Specification(**settings)
     weakened = once_spec.Specification(**settings, without=safeguard)
-    if removal.broken == safeguards.REQUEST_ENDS:
+    if removal.violated == safeguards.REQUEST_ENDS:
         for specification, holds in ((intact, True), (weakened, False)):
             verdict = minicheck.check_liveness(specification.protocol())
             assert verdict["holds"] is holds
         return
-    assert broken_by(intact) == set()
-    assert removal.broken in broken_by(weakened)
+    assert violated_by(intact) == set()
+    assert removal.violated in violated_by(weakened)
