--- a/packages/daisypick_core/src/daisypick_core/configuration/__init__.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/__init__.py
@@ -19,7 +19,7 @@
 
 Distribution to all processes:
 
-* ``spread``: the state machine of one process, driven by contacts and ticks.
+* ``spread``: the state of one process, driven by contacts and ticks.
 * ``startup``: the sources queried at startup.
 * ``rounds``: the schedule of notices to peers and queries to the store.
 * ``spread_actions``: the actions that the driver carries out.
