--- a/packages/daisypick_core/src/daisypick_core/configuration/spread_actions.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/spread_actions.py
@@ -1,8 +1,10 @@
 """Actions of the configuration distribution that its driver carries out.
 
-The driver reports the results: of ``FetchRoot`` by ``take_root``, of
-``FetchChunks`` and ``FetchPack`` by ``take_chunks``, of ``Notify`` by ``hear``
-with the generation in the response. A timeout covers a missing report.
+The driver reports the results; a timeout covers a missing report:
+
+* ``FetchRoot``: by ``take_root``;
+* ``FetchChunks`` and ``FetchPack``: by ``take_chunks``;
+* ``Notify``: by ``hear``, with the generation in the response.
 """
 
 from collections.abc import Mapping
