--- a/packages/daisypick_core/src/daisypick_core/configuration/check.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/check.py
@@ -1,8 +1,8 @@
-r"""Check a merged folder as a whole and make the configuration of it.
+r"""Validate a merged folder as a whole and build its configuration.
 
-Three passes: each value by itself (type, then the checks registered for its
-key), each entry, and the entries among each other. All faults are collected;
-only a folder without any becomes a configuration.
+Validation has three passes: single values (type, then the checks registered
+for the key), single entries, and relations between entries. All faults are
+collected; only a folder without faults becomes a configuration.
 
 Examples:
     >>> from daisypick_core.configuration import merge
@@ -18,10 +18,10 @@
 
 import msgspec
 
+from daisypick_core.configuration import cross_checks
 from daisypick_core.configuration import faults
 from daisypick_core.configuration import merge
 from daisypick_core.configuration import model
-from daisypick_core.configuration import relations
 from daisypick_core.configuration import sections
 from daisypick_core.configuration import values
 from daisypick_core.results import codes
@@ -31,13 +31,14 @@
 
 
 class Checked(typing.NamedTuple):
-    """Outcome of a check.
+    """Result of a validation.
 
     Attributes:
-        configuration: With generation 0; ``None`` if there are faults.
-        faults: In the order of file and key.
+        configuration: The configuration with generation 0; ``None`` if there
+            are faults.
+        faults: All faults, sorted by file and key.
         file_by_key: File of each value by dotted key, ``DEFAULT`` for a
-            value that no file gives.
+            value that no file sets.
     """
 
     configuration: model.Configuration | None
@@ -60,8 +61,10 @@
             if not entry_faults:
                 made[name] = _make_entry(section, name, entry)
     configuration = sections.make_configuration(0, entries_by_section)
-    for broken in relations.find_broken(configuration, merged):
-        found.append(broken._replace(file=_file_at_fault(broken, file_by_key)))
+    for cross_fault in cross_checks.find_faults(configuration, merged):
+        found.append(
+            cross_fault._replace(file=_file_at_fault(cross_fault, file_by_key))
+        )
     found.sort(key=lambda fault: (fault.file, fault.key))
     return Checked(
         configuration=None if found else configuration,
@@ -93,7 +96,7 @@
     field = section.field(key)
     if field is None:
         known = ", ".join(field.key for field in section.fields)
-        reason = f"is no known key, expected {known}"
+        reason = f"is not a known key, expected {known}"
         yield faults.Fault(given.file, path, codes.UNKNOWN_SETTING, reason)
         return
     try:
@@ -107,7 +110,7 @@
 
 
 def _file_at_fault(fault: faults.Fault, file_by_key: dict[str, str]) -> str:
-    """Return the file of the value, or of the entry that lacks it."""
+    """Return the file that sets the value, or that defines its entry."""
     file = file_by_key[fault.key]
     if file != DEFAULT:
         return file
--- a/packages/daisypick_core/src/daisypick_core/configuration/relations.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/cross_checks.py
@@ -1,8 +1,8 @@
-"""The checks of entries among each other.
+"""Checks of relations between entries.
 
-Faults come without a file; ``check`` adds the one that gave the value. Only
-sound entries are compared, so that one bad value is told once. A name counts
-as defined if some entry bears it, even one with faults of its own.
+The faults have no file; ``check`` adds the file that set the value. Only valid
+entries are compared, so that a bad value is reported once. A name is defined
+if any entry has it, even an entry with faults of its own.
 """
 
 from collections.abc import Callable
@@ -15,25 +15,27 @@
 from daisypick_core.configuration import sections
 from daisypick_core.results import codes
 
-Relation = Callable[[model.Configuration, merge.Merged], Iterable[faults.Fault]]
+CrossCheck = Callable[
+    [model.Configuration, merge.Merged], Iterable[faults.Fault]
+]
 
-_relations: list[Relation] = []
+_cross_checks: list[CrossCheck] = []
 
 _NAMES_BY_KEY = {"service": "services", "data_centre": "data_centres"}
 
 
-def register(relation: Relation) -> Relation:
-    """Register a check of entries among each other."""
-    _relations.append(relation)
-    return relation
+def register(cross_check: CrossCheck) -> CrossCheck:
+    """Register a check of relations between entries."""
+    _cross_checks.append(cross_check)
+    return cross_check
 
 
-def find_broken(
+def find_faults(
     configuration: model.Configuration, merged: merge.Merged
 ) -> Iterator[faults.Fault]:
-    """Yield the faults between entries."""
-    for relation in _relations:
-        yield from relation(configuration, merged)
+    """Yield the faults in relations between entries."""
+    for cross_check in _cross_checks:
+        yield from cross_check(configuration, merged)
 
 
 def _fault(key: str, code: codes.Code, reason: str) -> faults.Fault:
@@ -60,8 +62,8 @@
 def _duplicate_key_hashes(
     configuration: model.Configuration, merged: merge.Merged
 ) -> Iterator[faults.Fault]:
-    # Two organisations with one key: the caller's work would be charged to
-    # whichever the router finds first.
+    # With one key in two organisations, requests would be charged to
+    # whichever organisation the router finds first.
     del merged
     owner_by_hash: dict[str, str] = {}
     for name, organisation in configuration.organisations_by_name.items():
@@ -79,7 +81,8 @@
 def _duplicate_addresses(
     configuration: model.Configuration, merged: merge.Merged
 ) -> Iterator[faults.Fault]:
-    # Two agents before one server would each admit its full slots.
+    # Two agents in front of one server would each admit requests for all of
+    # its slots.
     del merged
     user_by_address: dict[str, str] = {}
     for name, server in configuration.backend_servers_by_name.items():
@@ -88,7 +91,7 @@
             address = getattr(server, key)
             user = user_by_address.setdefault(address, path)
             if user != path:
-                reason = f"{address} is used by {user} too"
+                reason = f"{address} is also used by {user}"
                 yield _fault(path, codes.DUPLICATE_VALUE, reason)
 
 
@@ -107,7 +110,7 @@
 
 
 @register
-def _kind_of_service(
+def _model_settings(
     configuration: model.Configuration, merged: merge.Merged
 ) -> Iterator[faults.Fault]:
     del merged
@@ -118,5 +121,5 @@
             yield _fault(f"{path}.model", codes.MISSING_KEY, reason)
         for key in ("model", "version", "adapters"):
             if service.kind == model.PLAIN and getattr(service, key):
-                reason = "makes no sense for a service of kind 'plain'"
+                reason = "must not be set for a service of kind 'plain'"
                 yield _fault(f"{path}.{key}", codes.BAD_VALUE, reason)
--- a/packages/daisypick_core/src/daisypick_core/configuration/patch.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/patch.py
@@ -1,7 +1,8 @@
-"""Bring a configuration from one tree of chunks to the next.
+"""Update a configuration from one tree of chunks to the next.
 
-A join of 25,000 entries takes a quarter of a second, in which a process that
-has one loop relays no token. A patch reads only the leaves that differ.
+Rebuilding a configuration of 25,000 entries takes a quarter of a second and
+blocks the event loop, during which the process relays no token. A patch reads
+only the leaves that differ.
 
 Examples:
     >>> from daisypick_core.configuration import sections
@@ -32,7 +33,7 @@
 
     Attributes:
         configuration: The configuration of the new tree.
-        changed_by_section: Names of entries made, changed or removed.
+        changed_by_section: Names of entries added, changed or removed.
     """
 
     configuration: model.Configuration
@@ -52,20 +53,20 @@
     Args:
         configuration: The configuration of ``old_top``.
         old_top: Hash of its top chunk.
-        new_top: Hash of the top chunk to go to.
-        chunk_by_hash: All chunks that only one of the two trees has.
+        new_top: Hash of the top chunk of the new configuration.
+        chunk_by_hash: At least all chunks that are in only one of the trees.
         generation: Generation of the new configuration.
     """
     try:
-        gone = _entries_of(
+        old_entries = _entries_of(
             chunks.changed_chunks(new_top, old_top, chunk_by_hash),
             chunk_by_hash,
         )
-        come = _entries_of(
+        new_entries = _entries_of(
             chunks.changed_chunks(old_top, new_top, chunk_by_hash),
             chunk_by_hash,
         )
-        return _apply(configuration, gone, come, generation)
+        return _apply(configuration, old_entries, new_entries, generation)
     except (msgspec.MsgspecError, KeyError, TypeError) as error:
         return failure_value.Failure(
             code=codes.BAD_CHUNK, reason=f"tree {new_top}: {error}"
@@ -86,19 +87,19 @@
 
 def _apply(
     configuration: model.Configuration,
-    gone: _Entries,
-    come: _Entries,
+    old_entries: _Entries,
+    new_entries: _Entries,
     generation: int,
 ) -> Patched:
     changed: dict[str, set[str]] = {}
-    for path in gone.keys() | come.keys():
+    for path in old_entries.keys() | new_entries.keys():
         section_name, _, name = path.partition("/")
         is_known = section_name in sections.by_name
-        if is_known and gone.get(path) != come.get(path):
+        if is_known and old_entries.get(path) != new_entries.get(path):
             changed.setdefault(section_name, set()).add(name)
     entries_by_field = {
         f"{section_name}_by_name": _patch_section(
-            configuration, sections.by_name[section_name], names, come
+            configuration, sections.by_name[section_name], names, new_entries
         )
         for section_name, names in changed.items()
     }
@@ -116,11 +117,11 @@
     configuration: model.Configuration,
     section: sections.Section,
     names: set[str],
-    come: _Entries,
+    new_entries: _Entries,
 ) -> dict[str, typing.Any]:
     entries = dict(sections.entries_by_name(configuration, section.name))
     for name in names:
-        fields = come.get(f"{section.name}/{name}")
+        fields = new_entries.get(f"{section.name}/{name}")
         if fields is None:
             del entries[name]
         else:
--- a/packages/daisypick_core/src/daisypick_core/routing/directory.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/directory.py
@@ -1,8 +1,8 @@
 """The agents that a router knows, by address and by service.
 
-Agents are suspended after failures, each time for longer; while their data
-centre or VM is draining they are asked again now and then, since nobody
-promises to tell a router that they are back.
+Agents are suspended after failures, with exponential backoff. Agents that
+drain with their data centre or VM are probed periodically, since a router is
+not guaranteed to be notified when they accept work again.
 """
 
 from collections.abc import Iterable
@@ -19,14 +19,14 @@
 from daisypick_core.routing import timers
 
 _FAILURE_BACKOFF = 1.0
-_LONGEST_FAILURE = 30.0
+_MAX_FAILURE_BACKOFF = 30.0
 _DRAIN_PROBE = 5.0
-_LONGEST_DRAIN_PROBE = 60.0
+_MAX_DRAIN_PROBE = 60.0
 _UNCONFIGURED_PROBE = 1.0
 
 
 class Directory:
-    """Views of agents and services; one a router."""
+    """The agents and services that one router knows."""
 
     def __init__(
         self, *, window: int, rng: random.Random, clock: timers.Timers
@@ -38,7 +38,7 @@
         self._service_by_name: dict[str, service_view.ServiceView] = {}
 
     def service(self, name: str) -> service_view.ServiceView:
-        """Return the view of a service, made at first use."""
+        """Return the view of a service, created at first use."""
         service = self._service_by_name.get(name)
         if service is None:
             service = service_view.ServiceView(window=self._window)
@@ -56,19 +56,19 @@
     def set_agents(
         self, addresses: Iterable[request_value.AgentAddress], now: float
     ) -> list[str]:
-        """Take the agents of a configuration; return who left or went out."""
+        """Set the configured agents; return those removed or out of service."""
         entries = {entry.address: entry for entry in addresses}
-        gone = [
+        removed = [
             address
             for address, view in list(self._view_by_address.items())
-            if not self._keep(view, entries.get(address), now)
+            if not self._update(view, entries.get(address), now)
         ]
         for address, entry in entries.items():
             if address not in self._view_by_address:
                 self._add(entry, now)
         for service in self._service_by_name.values():
-            service.rank_again()
-        return gone
+            service.update_ranking()
+        return removed
 
     def hear(
         self,
@@ -76,39 +76,39 @@
         load: load_message.Load,
         now: float,
     ) -> None:
-        """Take an agent's load."""
+        """Record the load report of an agent."""
         was_draining = view.is_draining
         view.hear(load, now)
         if load.is_draining and not was_draining:
-            self._probe_later(view, now)
+            self._schedule_probe(view, now)
         if not view.has_stale_timer:
             view.has_stale_timer = True
-            self._age_later(view)
+            self._schedule_age_check(view)
         self.refresh(view, now)
 
     def age_load(
         self, address: str, now: float
     ) -> service_view.ServiceView | None:
-        """Mark a load as stale if it is; return the service then."""
+        """Mark a load report as stale if it is; return the service if so."""
         view = self._view_by_address.get(address)
         if view is None:
             return None
-        if now < view.heard_at + agents_view.STALE_LOAD:
-            self._age_later(view)
+        if now < view.load_received_at + agents_view.STALE_LOAD:
+            self._schedule_age_check(view)
             return None
         view.has_stale_timer = False
         view.is_stale = view.load is not None
         self.refresh(view, now)
         return self.service(view.service)
 
-    def _age_later(self, view: agents_view.AgentView) -> None:
+    def _schedule_age_check(self, view: agents_view.AgentView) -> None:
         self._timers.add(
-            view.heard_at + agents_view.STALE_LOAD,
+            view.load_received_at + agents_view.STALE_LOAD,
             timers.AgeLoad(address=view.address),
         )
 
     def refresh(self, view: agents_view.AgentView, now: float) -> None:
-        """Put an agent into the sets that it belongs to now."""
+        """Update the sets of the service that the agent belongs to."""
         self.service(view.service).refresh(view, now)
 
     def wake(self, address: str, now: float) -> service_view.ServiceView | None:
@@ -124,7 +124,7 @@
     def wake_room(
         self, timer: timers.WakeRoom, now: float
     ) -> service_view.ServiceView | None:
-        """End the block of an organisation at an agent."""
+        """End the block of an organisation at an agent; return the service."""
         view = self._view_by_address.get(timer.address)
         if view is None:
             return None
@@ -142,12 +142,12 @@
         refusal: failure_value.Failure,
         now: float,
     ) -> None:
-        """Draw from a refusal what it says of the agent."""
+        """Update the state of an agent from its refusal."""
         number = refusal.code.number
         if number == codes.AGENT_QUEUE_FULL.number:
             self._block(view, organisation, refusal.retry_after, now)
         elif number == codes.DRAINING.number:
-            self._probe_later(view, now)
+            self._schedule_probe(view, now)
         elif number == codes.NOT_CONFIGURED.number:
             pause = _UNCONFIGURED_PROBE * self._rng.uniform(0.5, 1.5)
             self._suspend(view, pause, now)
@@ -165,12 +165,12 @@
         refusal: failure_value.Failure,
         now: float,
     ) -> None:
-        """Suspend an agent that failed, longer each time.
+        """Suspend an agent that failed, with exponential backoff.
 
-        One restart loses all attempts that are out at the agent. Counted one
-        by one they suspended it for many seconds, though its next start was
-        ready at once; what fails during a suspension was sent before it and
-        says nothing new.
+        One restart loses all attempts in flight at the agent. Counted one by
+        one they would suspend it for many seconds although it accepts work
+        again right after the restart. Failures during a suspension are
+        therefore ignored: those attempts were sent before it.
         """
         if view.suspended_until > now:
             return
@@ -178,7 +178,7 @@
             view.failures,
             self._rng,
             base=_FAILURE_BACKOFF,
-            longest=_LONGEST_FAILURE,
+            max_mean=_MAX_FAILURE_BACKOFF,
         )
         view.failures += 1
         self._suspend(view, max(pause, refusal.retry_after or 0.0), now)
@@ -187,24 +187,24 @@
     def note_first_token(
         self, view: agents_view.AgentView, seconds: float, now: float
     ) -> None:
-        """Take a time to first token; set a slow agent aside."""
+        """Record a time to first token; eject an agent that is slow."""
         service = self.service(view.service)
         service.typical_first_token.learn(seconds)
         view.note_first_token(seconds)
         view.failures = 0
-        if view.first_token_samples < outliers.LEAST_SAMPLES:
+        if view.first_token_samples < outliers.MIN_SAMPLES:
             return
         if not service.typical_first_token.is_outlier(view.first_token or 0.0):
-            view.times_slow = 0
+            view.ejections = 0
             return
         pause = backoff.pause(
-            view.times_slow,
+            view.ejections,
             self._rng,
-            base=outliers.SET_ASIDE,
-            longest=outliers.LONGEST_SET_ASIDE,
+            base=outliers.EJECTION_SECONDS,
+            max_mean=outliers.MAX_EJECTION_SECONDS,
         )
-        view.times_slow += 1
-        view.slow_until = now + pause
+        view.ejections += 1
+        view.ejected_until = now + pause
         view.forget_first_tokens()
         self._timers.add(now + pause, timers.WakeAgent(address=view.address))
         self.refresh(view, now)
@@ -217,16 +217,16 @@
             view.suspended_until, timers.WakeAgent(address=view.address)
         )
 
-    def _probe_later(self, view: agents_view.AgentView, now: float) -> None:
+    def _schedule_probe(self, view: agents_view.AgentView, now: float) -> None:
         if view.suspended_until > now:
             return
         pause = backoff.pause(
-            view.drains,
+            view.drain_probes,
             self._rng,
             base=_DRAIN_PROBE,
-            longest=_LONGEST_DRAIN_PROBE,
+            max_mean=_MAX_DRAIN_PROBE,
         )
-        view.drains += 1
+        view.drain_probes += 1
         self._suspend(view, pause, now)
 
     def _block(
@@ -246,13 +246,13 @@
             timers.WakeRoom(address=view.address, organisation=organisation),
         )
 
-    def _keep(
+    def _update(
         self,
         view: agents_view.AgentView,
         entry: request_value.AgentAddress | None,
         now: float,
     ) -> bool:
-        """Update a known agent; return whether it still takes work."""
+        """Update a known agent; return whether it still receives work."""
         if entry is None or entry.service != view.service:
             self.service(view.service).remove(view)
             del self._view_by_address[view.address]
@@ -261,11 +261,11 @@
         view.is_in = entry.is_in
         view.data_centre = entry.data_centre
         if view.is_in and not was_in:
-            # What was heard before the data centre went out says nothing of
-            # a server that returns; the first answer tells.
+            # The state recorded before the data centre went out of service
+            # is obsolete; the first response provides the new state.
             view.forget()
             view.suspended_until = 0.0
-            view.drains = 0
+            view.drain_probes = 0
         self.refresh(view, now)
         return view.is_in
 
--- a/packages/daisypick_core/src/daisypick_core/routing/hedge.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/hedge.py
@@ -1,40 +1,45 @@
-"""Giving up on agents that do not answer.
-
-An agent that hangs, or that the network has lost, keeps what waits there: the
-router asks for it back and hears nothing. A request that may be repeated goes
-elsewhere after a moment, and the silent agent is told to cancel its attempt in
-case it still hears. It costs a retry of the budget, so that a region that is
-cut off does not double the load of the others. A request that may not be
-repeated stays where it is until its connection tells.
+"""Failover from agents that do not respond.
+
+An agent that hangs or is unreachable does not respond to the withdrawal of
+waiting attempts. After ``HEDGE_AFTER`` a repeatable request is sent to another
+agent, and a cancellation is sent to the unresponsive one in case it still
+receives messages. This spends from the retry budget, so that a network
+partition of one region does not double the load of the others. A request that
+must not be repeated stays until its connection ends.
 """
 
 import itertools
 
-from daisypick_core.routing import flights
 from daisypick_core.routing import retry_budget
+from daisypick_core.routing import sent_attempts
 from daisypick_core.routing import service_view
 
-# Seconds without an answer to a withdrawal.
+# Time without a response to a withdrawal, seconds.
 HEDGE_AFTER = 1.0
-_FLIGHTS_LOOKED_AT = 64
+_MAX_ATTEMPTS_SCANNED = 64
 
 
-def find_silent(
+def find_unresponsive(
     service: service_view.ServiceView,
     budget: retry_budget.RetryBudget,
     now: float,
-) -> list[flights.Flight]:
-    """Return flights to give up, each paid for from the budget."""
-    silent = []
-    for flight in itertools.islice(
-        service.waiting.values(), _FLIGHTS_LOOKED_AT
+) -> list[sent_attempts.SentAttempt]:
+    """Return attempts to fail over, each charged to the retry budget."""
+    unresponsive = []
+    for sent_attempt in itertools.islice(
+        service.waiting.values(), _MAX_ATTEMPTS_SCANNED
     ):
-        if _is_silent(flight, now) and budget.try_spend():
-            silent.append(flight)
-    return silent
+        if _is_unresponsive(sent_attempt, now) and budget.try_spend():
+            unresponsive.append(sent_attempt)
+    return unresponsive
 
 
-def _is_silent(flight: flights.Flight, now: float) -> bool:
-    if not flight.job.request.is_repeatable or not flight.is_withdrawing:
+def _is_unresponsive(
+    sent_attempt: sent_attempts.SentAttempt, now: float
+) -> bool:
+    if (
+        not sent_attempt.job.request.is_repeatable
+        or not sent_attempt.is_withdrawing
+    ):
         return False
-    return now - flight.withdrawn_at >= HEDGE_AFTER
+    return now - sent_attempt.withdrawn_at >= HEDGE_AFTER
--- a/packages/daisypick_core/src/daisypick_core/routing/retry_budget.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/retry_budget.py
@@ -1,9 +1,9 @@
-"""How many retries the health of the fleet allows.
+"""The retry budget of a router.
 
-Every first attempt earns a fraction of a retry; each retry spends a whole
-one. Under an overload that fails everything, attempts per request stay
-below ``1 + ratio``, so that retries cannot become a storm. A trickle by time
-lets a quiet router retry at all.
+Every first attempt adds a fraction of a retry; each retry spends one. Even in
+an overload in which all attempts fail, the number of attempts per request
+stays below ``1 + ratio``, which prevents a retry storm. A slow refill over
+time lets a router with little traffic retry as well.
 
 Examples:
     >>> budget = RetryBudget(ratio=0.5, burst=1.0)
@@ -11,13 +11,13 @@
     (True, False)
     >>> budget.earn(); budget.earn(); budget.try_spend()
     True
-    >>> budget.trickle(0.0); budget.trickle(20.0); budget.try_spend()
+    >>> budget.refill(0.0); budget.refill(20.0); budget.try_spend()
     True
 """
 
 DEFAULT_RATIO = 0.08
 DEFAULT_BURST = 10.0
-TRICKLE_PER_SECOND = 0.1
+REFILL_PER_SECOND = 0.1
 
 
 class RetryBudget:
@@ -29,21 +29,21 @@
         self._ratio = ratio
         self._burst = burst
         self._tokens = burst
-        self._trickled_at: float | None = None
+        self._refilled_at: float | None = None
 
     def earn(self) -> None:
-        """Note a first attempt."""
+        """Record a first attempt."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
-    def trickle(self, now: float) -> None:
-        """Earn what the time since the last call allows."""
-        if self._trickled_at is not None:
-            earned = (now - self._trickled_at) * TRICKLE_PER_SECOND
+    def refill(self, now: float) -> None:
+        """Refill the budget for the time since the last call."""
+        if self._refilled_at is not None:
+            earned = (now - self._refilled_at) * REFILL_PER_SECOND
             self._tokens = min(self._burst, self._tokens + max(0.0, earned))
-        self._trickled_at = now
+        self._refilled_at = now
 
     def try_spend(self) -> bool:
-        """Take one retry if there is one."""
+        """Spend one retry if available; return whether it was."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/packages/daisypick_core/src/daisypick_core/routing/returns.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/return_handler.py
@@ -1,6 +1,6 @@
-"""What becomes of requests that came back or waited too long.
+"""Handling of requests that were returned or waited too long.
 
-They go out again at once or after a pause, or get their final answer.
+They are resent at once or after a backoff, or receive their final response.
 """
 
 from daisypick_core.results import codes
@@ -8,39 +8,39 @@
 from daisypick_core.routing import actions
 from daisypick_core.routing import agents as agents_view
 from daisypick_core.routing import directory
-from daisypick_core.routing import flights
 from daisypick_core.routing import hedge as hedge_module
 from daisypick_core.routing import refusals
 from daisypick_core.routing import request as request_value
 from daisypick_core.routing import retries
 from daisypick_core.routing import sender
+from daisypick_core.routing import sent_attempts
 from daisypick_core.routing import service_view
 from daisypick_core.routing import timers
 
 _RETRY_AFTER = 1.0
-_SILENT = failure_value.Failure(
+_UNRESPONSIVE = failure_value.Failure(
     code=codes.PEER_UNREACHABLE, reason="agent: does not answer"
 )
 
 
-class Returns:
-    """Sends requests out again, or answers them."""
+class ReturnHandler:
+    """Resends returned requests, or gives them their final response."""
 
     def __init__(
         self,
         *,
-        known: directory.Directory,
-        outgoing: sender.Sender,
-        decisions: retries.Retries,
+        agent_directory: directory.Directory,
+        attempt_sender: sender.Sender,
+        job_retries: retries.Retries,
         clock: timers.Timers,
     ) -> None:
-        self._directory = known
-        self._sender = outgoing
-        self._retries = decisions
+        self._directory = agent_directory
+        self._sender = attempt_sender
+        self._retries = job_retries
         self._timers = clock
 
     def run_timers(self, now: float) -> list[actions.Action]:
-        """Wake agents and requests whose time has come."""
+        """Process the timers that are due."""
         due: list[actions.Action] = []
         for timer in self._timers.pop_due(now):
             if isinstance(timer, timers.WakeAgent):
@@ -63,15 +63,15 @@
                     due += self.requeue(job, now)
         return due
 
-    def move(
+    def resend(
         self,
-        flight: flights.Flight,
+        sent_attempt: sent_attempts.SentAttempt,
         refusal: failure_value.Failure,
         now: float,
     ) -> list[actions.Action]:
-        """Send what came back "not run" elsewhere, now or after a pause."""
-        job = flight.job
-        job.avoid = flight.agent
+        """Resend a request returned as "not run", now or after a backoff."""
+        job = sent_attempt.job
+        job.avoided_agent = sent_attempt.agent
         verdict = self._retries.returned(job, refusal, now)
         if verdict == retries.NOW:
             return self.requeue(job, now)
@@ -83,61 +83,66 @@
                 retry_after=refusal.retry_after or _RETRY_AFTER,
             )
             due.append(self.fail(job, spent))
-        return due + self.send_like(job.request, now)
+        return due + self.send_queued(job.request, now)
 
     def hedge(
         self, service: service_view.ServiceView, now: float
     ) -> list[actions.Action]:
-        """Send elsewhere what silent agents do not give back."""
+        """Fail over the attempts that unresponsive agents do not return."""
         due: list[actions.Action] = []
-        for flight in hedge_module.find_silent(
+        for sent_attempt in hedge_module.find_unresponsive(
             service, self._retries.budget, now
         ):
-            attempt = flight.attempt
-            self._sender.land(attempt.attempt_id, now)
-            due.append(actions.Cancel(attempt=attempt, agent=flight.agent))
-            job = flight.job
-            job.avoid = flight.agent
+            attempt = sent_attempt.attempt
+            self._sender.pop_attempt(attempt.attempt_id, now)
+            due.append(
+                actions.Cancel(attempt=attempt, agent=sent_attempt.agent)
+            )
+            job = sent_attempt.job
+            job.avoided_agent = sent_attempt.agent
             job.may_have_run = True
-            view = self._directory.find(flight.agent)
+            view = self._directory.find(sent_attempt.agent)
             if view is not None:
-                self._directory.note_failure(view, _SILENT, now)
+                self._directory.note_failure(view, _UNRESPONSIVE, now)
             due += self.requeue(job, now)
         return due
 
-    def is_renewed(
+    def can_resend_to_agent(
         self,
-        flight: flights.Flight,
+        sent_attempt: sent_attempts.SentAttempt,
         refusal: failure_value.Failure,
         view: agents_view.AgentView | None,
     ) -> bool:
-        """Tell whether the agent takes work under its new address.
+        """Return whether the agent accepts the request on a resend.
 
-        The refusal brought the agent's incarnation and epoch along, so the
-        next attempt may go there at once.
+        A refusal as stale carries the current incarnation and epoch of the
+        agent, so that the next attempt may be sent to it at once.
         """
         if refusal.code not in (codes.STALE_INCARNATION, codes.STALE_EPOCH):
             return False
         if view is None or view.load is None or not view.free:
             return False
-        heard = (view.load.incarnation, view.load.epoch)
-        return heard != (flight.attempt.incarnation, flight.attempt.epoch)
+        current = (view.load.incarnation, view.load.epoch)
+        return current != (
+            sent_attempt.attempt.incarnation,
+            sent_attempt.attempt.epoch,
+        )
 
     def requeue(
         self, job: request_value.Job, now: float
     ) -> list[actions.Action]:
-        """Put a job before the others of its organisation and send."""
+        """Put a job at the front of its organisation's queue and send."""
         if job.deadline <= now:
             return [self.expire(job)]
         request = job.request
         service = self._directory.service(request.service)
         service.queues.prepend(request.organisation, request.request_id, job)
-        return self.send_like(request, now)
+        return self.send_queued(request, now)
 
-    def send_like(
+    def send_queued(
         self, request: request_value.Request, now: float
     ) -> list[actions.Action]:
-        """Send requests of the same service and organisation."""
+        """Send queued requests of the same service and organisation."""
         service = self._directory.service(request.service)
         return self._sender.send_organisation(
             service, request.organisation, now
@@ -146,14 +151,14 @@
     def fail(
         self, job: request_value.Job, refusal: failure_value.Failure
     ) -> actions.Fail:
-        """Give a job its final answer."""
+        """Return the final response of a failed job."""
         return actions.Fail(
             request_id=job.request.request_id,
-            failure=refusals.as_answer(job, refusal),
+            failure=refusals.final_failure(job, refusal),
         )
 
     def expire(self, job: request_value.Job) -> actions.Fail:
-        """Give a job whose deadline has passed its final answer."""
+        """Return the final response of a job whose deadline has passed."""
         refusal = failure_value.Failure(
             code=codes.DEADLINE_PASSED,
             reason="waited past its deadline at the router",
--- a/packages/daisypick_core/src/daisypick_core/routing/splice.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/splice.py
@@ -1,10 +1,11 @@
-"""Joining a repeated answer to what the caller has already seen.
+"""Continuation of a broken response stream by a repeated response.
 
-When a stream breaks, the same attempt is resumed from the byte reached, or
-the request is run again and its answer starts anew. The caller must see
-neither a byte twice nor a gap. A splice passes on only what is new, and checks
-by hash that a repeated beginning is the one the caller saw: a model that
-samples differently the second time yields a failure, not a mixture.
+When a stream breaks, the same attempt is resumed at the last byte received, or
+the request is run again and its response starts from the beginning. The caller
+must receive neither duplicate bytes nor a gap. A splice forwards only new bytes
+and verifies by hash that a repeated prefix equals the bytes already forwarded:
+if the model samples differently the second time, the result is a failure, not
+a mixture of two responses.
 
 Examples:
     >>> splice = Splice()
@@ -25,51 +26,51 @@
 
 
 class Splice:
-    """The caller's view of one answer over several attempts.
+    """One response to the caller, assembled from several attempts.
 
     Attributes:
-        position: Bytes that were passed on to the caller.
-        received: Bytes received of the present attempt.
+        position: Number of bytes forwarded to the caller.
+        received: Number of bytes received of the current attempt.
     """
 
     def __init__(self) -> None:
         self.position = 0
         self.received = 0
-        self._seen = xxhash.xxh3_128()
-        self._again = xxhash.xxh3_128()
+        self._forwarded_hash = xxhash.xxh3_128()
+        self._repeated_hash = xxhash.xxh3_128()
 
     def restart(self) -> None:
-        """Note that another attempt's answer begins at its first byte."""
+        """Record that the response of another attempt begins at byte 0."""
         self.received = 0
-        self._again = xxhash.xxh3_128()
+        self._repeated_hash = xxhash.xxh3_128()
 
     def accept(self, offset: int, data: bytes) -> bytes | failure_value.Failure:
-        """Return the part of the data that the caller has not seen."""
+        """Return the part of the data that was not forwarded yet."""
         if offset > self.received:
             return _broken(f"offset: {offset} leaves a gap")
         data = data[self.received - offset :]
         repeated = data[: max(0, self.position - self.received)]
         self.received += len(data)
         if repeated:
-            self._again.update(repeated)
-            if not self._is_same_beginning():
+            self._repeated_hash.update(repeated)
+            if not self._is_same_prefix():
                 return failure_value.Failure(
                     code=codes.ANSWER_DIFFERS,
                     reason="answer: differs from what the caller saw",
                 )
         new = data[len(repeated) :]
-        self._seen.update(new)
+        self._forwarded_hash.update(new)
         self.position += len(new)
         return new
 
     def is_whole(self, size: int) -> bool:
-        """Tell whether the attempt's answer of ``size`` bytes is complete."""
+        """Return whether the response of ``size`` bytes is complete."""
         return self.received == size and self.position == size
 
-    def _is_same_beginning(self) -> bool:
+    def _is_same_prefix(self) -> bool:
         if self.received < self.position:
             return True
-        return self._again.digest() == self._seen.digest()
+        return self._repeated_hash.digest() == self._forwarded_hash.digest()
 
 
 def _broken(reason: str) -> failure_value.Failure:
--- a/spec/generations_spec.py
+++ b/spec/generations_spec.py
@@ -1,13 +1,13 @@
 """Specification of configuration generations: operators, store, processes.
 
-Two operators each try to put one change in force. Two processes learn the
-configuration from the store or from each other, by messages that may be late
-and doubled, and restart with nothing in memory. The store may be down.
-
-Properties: a generation has one content; an operator who is told of a
-conflict has changed nothing; a process never goes back to a lower generation
-than it has been ready with, not even across its restart; every process can
-still reach the newest generation.
+Two operators each try to put one change in force. Two processes receive the
+configuration from the store or from each other, by messages that may be
+delayed and duplicated, and restart without state. The store may be down.
+
+Properties: a generation has one content; an operator to whom a conflict is
+reported has changed nothing; a process never goes back to a lower generation
+than it has been ready with, even across a restart; every process can still
+reach the newest generation.
 """
 
 from collections.abc import Iterator
@@ -19,50 +19,50 @@
 PROCESSES = (0, 1)
 RESTARTS = 1
 
-# What an operator has been told.
-EDITING = "editing"
+# Outcomes of a change, as reported to its operator.
+IN_PROGRESS = "editing"
 LOST = "answer lost"
 ACCEPTED = "accepted"
 CONFLICT = "conflict"
 
 ONE_CONTENT = "a generation has one content"
 CONFLICT_IS_TRUE = "a conflict has changed nothing"
-NEVER_FALLS = "a generation never falls"
+NEVER_REGRESSES = "a generation never falls"
 
 SAFEGUARDS = {
     "the root is written by conditional update": ONE_CONTENT,
     "a lost answer is settled by reading back": CONFLICT_IS_TRUE,
     "the root names the latest changes": CONFLICT_IS_TRUE,
-    "a lower generation is ignored": NEVER_FALLS,
+    "a lower generation is ignored": NEVER_REGRESSES,
     "a restarted process is ready only after the store has answered": (
-        NEVER_FALLS
+        NEVER_REGRESSES
     ),
 }
 
-# A root is the operators whose changes are in force, in order: its length is
-# the generation.
+# A root is the sequence of the operators whose changes are in force; its length
+# is the generation.
 Root = tuple[int, ...]
 
 
 class Operator(typing.NamedTuple):
-    """An operator: the root read, and what came of the write."""
+    """An operator: the root read, and the outcome of the write."""
 
     base: Root | None = None
-    told: str = EDITING
+    outcome: str = IN_PROGRESS
 
 
 class Process(typing.NamedTuple):
-    """A process: the root in force and the highest it was ready with."""
+    """A process: the root in force, the highest generation served, restarts."""
 
     root: Root = ()
     is_ready: bool = False
-    has_fallen: bool = False
+    has_regressed: bool = False
     highest: int = 0
     restarts: int = 0
 
 
 class World(typing.NamedTuple):
-    """The stored root, every root that was ever written, the outage."""
+    """The stored root, all roots ever written, and the store outage."""
 
     root: Root = ()
     written: frozenset[Root] = frozenset()
@@ -74,11 +74,11 @@
 
 
 class Specification:
-    """The transitions, with some safeguard removed."""
+    """The transitions, optionally without one safeguard."""
 
     def __init__(self, *, without: str | None = None) -> None:
         if without is not None and without not in SAFEGUARDS:
-            raise ValueError(f"without: {without!r} is no safeguard")
+            raise ValueError(f"without: {without!r} is not a safeguard")
         self._without = without
 
     def protocol(self) -> minicheck.Protocol:
@@ -100,10 +100,10 @@
                 CONFLICT_IS_TRUE: lambda d: all(
                     not _is_in(n, d["world"].written)
                     for n in OPERATORS
-                    if d[f"operator{n}"].told == CONFLICT
+                    if d[f"operator{n}"].outcome == CONFLICT
                 ),
-                NEVER_FALLS: lambda d: (
-                    not any(d[name].has_fallen for name in processes)
+                NEVER_REGRESSES: lambda d: (
+                    not any(d[name].has_regressed for name in processes)
                 ),
             },
             goal=lambda d: all(
@@ -131,35 +131,35 @@
     def _operator_steps(self, state: State, number: int) -> Iterator[Step]:
         operator = state[number]
         world = state[-1]
-        if operator.told == EDITING and operator.base is None:
+        if operator.outcome == IN_PROGRESS and operator.base is None:
             read = operator._replace(base=world.root)
             yield f"operator {number} reads", _with(state, number, read)
-        elif operator.told == EDITING:
+        elif operator.outcome == IN_PROGRESS:
             yield from self._write_steps(state, number)
-        elif operator.told == LOST:
-            told = self._read_back(operator, world.root, number)
-            settled = operator._replace(told=told)
+        elif operator.outcome == LOST:
+            outcome = self._read_back(operator, world.root, number)
+            settled = operator._replace(outcome=outcome)
             yield f"operator {number} reads back", _with(state, number, settled)
 
     def _write_steps(self, state: State, number: int) -> Iterator[Step]:
         operator = state[number]
         world = state[-1]
-        lost = operator._replace(told=LOST)
+        lost = operator._replace(outcome=LOST)
         if not self._has("a lost answer is settled by reading back"):
-            lost = operator._replace(told=CONFLICT)
+            lost = operator._replace(outcome=CONFLICT)
         is_current = operator.base == world.root
         if not is_current and self._has(
             "the root is written by conditional update"
         ):
-            refused = operator._replace(told=CONFLICT)
+            refused = operator._replace(outcome=CONFLICT)
             yield f"operator {number} conflicts", _with(state, number, refused)
             yield f"operator {number} loses", _with(state, number, lost)
             return
         root = (*operator.base, number)
         stored = world._replace(root=root, written=world.written | {root})
-        accepted = operator._replace(told=ACCEPTED)
-        for told in (accepted, lost):
-            written = _with(state, number, told)
+        accepted = operator._replace(outcome=ACCEPTED)
+        for result in (accepted, lost):
+            written = _with(state, number, result)
             yield f"operator {number} writes", (*written[:-1], stored)
 
     def _read_back(self, operator: Operator, root: Root, number: int) -> str:
@@ -170,41 +170,47 @@
     # Processes.
 
     def _process_steps(self, state: State, number: int) -> Iterator[Step]:
-        place = len(OPERATORS) + number
-        process = state[place]
+        index = len(OPERATORS) + number
+        process = state[index]
         world = state[-1]
         if not world.is_down:
-            asked = self._take(process, world.root)._replace(is_ready=True)
-            yield f"process {number} asks", self._install(state, place, asked)
+            queried = self._receive(process, world.root)._replace(is_ready=True)
+            yield (
+                f"process {number} asks",
+                self._activate(state, index, queried),
+            )
         for root in world.written:
-            # A message that tells this root may arrive at any later time.
-            heard = self._take(process, root)
+            # A message with this root may arrive at any later time.
+            received = self._receive(process, root)
             if not self._has(
                 "a restarted process is ready only after the store has answered"
             ):
-                heard = heard._replace(is_ready=True)
-            yield f"process {number} hears", self._install(state, place, heard)
+                received = received._replace(is_ready=True)
+            yield (
+                f"process {number} hears",
+                self._activate(state, index, received),
+            )
         if process.restarts < RESTARTS:
             restarted = process._replace(
                 root=(), is_ready=False, restarts=process.restarts + 1
             )
-            yield f"process {number} restarts", _with(state, place, restarted)
+            yield f"process {number} restarts", _with(state, index, restarted)
 
-    def _take(self, process: Process, root: Root) -> Process:
+    def _receive(self, process: Process, root: Root) -> Process:
         is_lower = len(root) < len(process.root)
         if is_lower and self._has("a lower generation is ignored"):
             return process
         return process._replace(root=root)
 
-    def _install(self, state: State, place: int, process: Process) -> State:
-        """Note what a process serves with, and whether it fell."""
+    def _activate(self, state: State, index: int, process: Process) -> State:
+        """Record the generation a process serves, and whether it decreased."""
         if process.is_ready:
             generation = len(process.root)
             process = process._replace(
-                has_fallen=generation < process.highest,
+                has_regressed=generation < process.highest,
                 highest=max(process.highest, generation),
             )
-        return _with(state, place, process)
+        return _with(state, index, process)
 
 
 def _has_one_content(written: frozenset[Root]) -> bool:
@@ -215,6 +221,6 @@
     return any(operator in root for root in written)
 
 
-def _with(state: State, place: int, part: Operator | Process) -> State:
+def _with(state: State, index: int, part: Operator | Process) -> State:
     """Return the state with one operator or process replaced."""
-    return (*state[:place], part, *state[place + 1 :])
+    return (*state[:index], part, *state[index + 1 :])
--- a/spec/test_generations_spec.py
+++ b/spec/test_generations_spec.py
@@ -3,7 +3,7 @@
 import pytest
 
 
-def test_safety_holds_and_every_process_can_learn_the_newest():
+def test_safety_holds_and_every_process_can_reach_the_newest():
     protocol = generations_spec.Specification().protocol()
     result = minicheck.check_safety(protocol)
     assert result["exhaustive"]
@@ -16,5 +16,5 @@
 def test_removal_of_a_safeguard_gives_a_counterexample(safeguard):
     specification = generations_spec.Specification(without=safeguard)
     result = minicheck.check_safety(specification.protocol())
-    broken = generations_spec.SAFEGUARDS[safeguard]
-    assert result["properties"][broken]["holds"] is False
+    violated = generations_spec.SAFEGUARDS[safeguard]
+    assert result["properties"][violated]["holds"] is False
