--- a/packages/daisypick_core/src/daisypick_core/configuration/__init__.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/__init__.py
@@ -19,10 +19,10 @@
 
 Distribution to all processes:
 
-* ``spread``: the state of one process, driven by contacts and ticks.
+* ``distribution``: the state of one process, driven by contacts and ticks.
 * ``startup``: the sources queried at startup.
 * ``rounds``: the schedule of notices to peers and queries to the store.
-* ``spread_actions``: the actions that the driver carries out.
+* ``distribution_actions``: the actions that the driver carries out.
 * ``local_chunks``: the chunks that the process holds.
 * ``fetch``: the fetch in progress.
 * ``source_generations``: the generation that each source reports.
--- a/packages/daisypick_core/src/daisypick_core/configuration/spread.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/distribution.py
@@ -22,7 +22,7 @@
 
 Examples:
     >>> import random
-    >>> holder = Holder(rng=random.Random(1))
+    >>> holder = ConfigurationHolder(rng=random.Random(1))
     >>> holder.set_peers(["10.0.0.1:80"], ["10.0.0.1:80"])
     >>> for action in holder.start(0.0):
     ...     print(action)
@@ -41,6 +41,7 @@
 import random
 import typing
 
+from daisypick_core.configuration import distribution_actions as actions
 from daisypick_core.configuration import fetch as tree_fetch
 from daisypick_core.configuration import local_chunks
 from daisypick_core.configuration import model
@@ -48,7 +49,6 @@
 from daisypick_core.configuration import root as root_object
 from daisypick_core.configuration import rounds
 from daisypick_core.configuration import source_generations
-from daisypick_core.configuration import spread_actions as actions
 from daisypick_core.configuration import startup
 from daisypick_core.configuration import wire
 from daisypick_core.results import failure as failure_value
@@ -56,7 +56,7 @@
 STORE = actions.STORE
 
 
-class Holder:
+class ConfigurationHolder:
     """The configuration of one process, kept up to date from its peers.
 
     Attributes:
@@ -73,7 +73,7 @@
         self,
         *,
         rng: random.Random,
-        limits: rounds.SpreadLimits = rounds.DEFAULT_LIMITS,
+        limits: rounds.DistributionLimits = rounds.DEFAULT_LIMITS,
     ) -> None:
         self.configuration = model.EMPTY
         self.root: root_object.Root | None = None
--- a/packages/daisypick_core/src/daisypick_core/configuration/rounds.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/rounds.py
@@ -19,10 +19,10 @@
 import random
 import typing
 
-from daisypick_core.configuration import spread_actions as actions
+from daisypick_core.configuration import distribution_actions as actions
 
 
-class SpreadLimits(typing.NamedTuple):
+class DistributionLimits(typing.NamedTuple):
     """Times in seconds, and limits of the distribution.
 
     Attributes:
@@ -50,13 +50,15 @@
     batch: int = 64
 
 
-DEFAULT_LIMITS = SpreadLimits()
+DEFAULT_LIMITS = DistributionLimits()
 
 
 class Rounds:
     """The gossip schedule of one process."""
 
-    def __init__(self, *, rng: random.Random, limits: SpreadLimits) -> None:
+    def __init__(
+        self, *, rng: random.Random, limits: DistributionLimits
+    ) -> None:
         self._rng = rng
         self._limits = limits
         self._near: Sequence[str] = ()
--- a/packages/daisypick_core/src/daisypick_core/configuration/startup.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/startup.py
@@ -29,7 +29,7 @@
     """
 
     def __init__(
-        self, *, rng: random.Random, limits: rounds.SpreadLimits
+        self, *, rng: random.Random, limits: rounds.DistributionLimits
     ) -> None:
         self.is_under_way = False
         self._rng = rng
--- a/packages/daisypick_core/tests/configuration/test_spread.py
+++ b/packages/daisypick_core/tests/configuration/test_distribution.py
@@ -5,12 +5,12 @@
 from hypothesis import strategies
 
 from daisypick_core.configuration import chunks
+from daisypick_core.configuration import distribution
+from daisypick_core.configuration import distribution_actions as actions
 from daisypick_core.configuration import model
 from daisypick_core.configuration import root as root_object
 from daisypick_core.configuration import rounds
 from daisypick_core.configuration import sections
-from daisypick_core.configuration import spread
-from daisypick_core.configuration import spread_actions as actions
 from daisypick_core.configuration import wire
 from daisypick_core.results import codes
 from daisypick_core.results import failure as failure_value
@@ -52,8 +52,8 @@
 
 
 def make_holder(**limits):
-    holder = spread.Holder(
-        rng=random.Random(7), limits=rounds.SpreadLimits(**limits)
+    holder = distribution.ConfigurationHolder(
+        rng=random.Random(7), limits=rounds.DistributionLimits(**limits)
     )
     holder.set_peers(PEERS, PEERS[:1])
     return holder
--- a/packages/daisypick_lab/src/daisypick_lab/configuration_fleet.py
+++ b/packages/daisypick_lab/src/daisypick_lab/configuration_fleet.py
@@ -15,9 +15,9 @@
 import typing
 
 from daisypick_core.configuration import chunks
+from daisypick_core.configuration import distribution
+from daisypick_core.configuration import distribution_actions as actions
 from daisypick_core.configuration import root as root_object
-from daisypick_core.configuration import spread
-from daisypick_core.configuration import spread_actions as actions
 from daisypick_core.configuration import wire
 from daisypick_core.results import codes
 from daisypick_core.results import failure as failure_value
@@ -114,7 +114,9 @@
         self._root = self._make_root(1)
         self._pack = self._tree.chunk_by_hash
         self._holders = [
-            spread.Holder(rng=random.Random(seed * 100_003 + number))
+            distribution.ConfigurationHolder(
+                rng=random.Random(seed * 100_003 + number)
+            )
             for number in range(scenario.nodes)
         ]
 
--- a/packages/daisypick_lab/src/daisypick_lab/configuration_size.py
+++ b/packages/daisypick_lab/src/daisypick_lab/configuration_size.py
@@ -11,11 +11,11 @@
 import typing
 
 from daisypick_core.configuration import chunks
+from daisypick_core.configuration import distribution
+from daisypick_core.configuration import distribution_actions as actions
 from daisypick_core.configuration import model
 from daisypick_core.configuration import root as root_object
 from daisypick_core.configuration import sections
-from daisypick_core.configuration import spread
-from daisypick_core.configuration import spread_actions as actions
 from daisypick_core.configuration import wire
 
 LETTER_ORGANISATIONS = 22_000
@@ -99,7 +99,7 @@
     first = wire.encode_answer(wire.RootAnswer(_root(1, tree), {}))
     data = wire.encode_chunks(tree.chunk_by_hash)
     memory = _measure_memory(first, data)
-    holder = spread.Holder(rng=random.Random(1))
+    holder = distribution.ConfigurationHolder(rng=random.Random(1))
     load_seconds = _load(holder, first, data)
     size = seconds = 0.0
     for generation in range(2, 2 + CHANGES):
@@ -133,14 +133,16 @@
 
 def _measure_memory(first: bytes, data: bytes) -> float:
     tracemalloc.start()
-    holder = spread.Holder(rng=random.Random(1))
+    holder = distribution.ConfigurationHolder(rng=random.Random(1))
     _load(holder, first, data)
     kept, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return kept / _MEGABYTE
 
 
-def _load(holder: spread.Holder, first: bytes, data: bytes) -> float:
+def _load(
+    holder: distribution.ConfigurationHolder, first: bytes, data: bytes
+) -> float:
     started = time.process_time()
     answer = wire.decode_answer(first)
     answer = answer._replace(chunk_by_hash=wire.decode_chunks(data))
--- a/packages/daisypick_node/src/daisypick_node/configuration_routes.py
+++ b/packages/daisypick_node/src/daisypick_node/configuration_routes.py
@@ -16,7 +16,7 @@
 import typing
 import urllib.parse
 
-from daisypick_core.configuration import spread
+from daisypick_core.configuration import distribution
 from daisypick_core.configuration import wire
 from daisypick_core.membership import directory as member_directory
 from daisypick_core.results import codes
@@ -58,7 +58,7 @@
     def __init__(
         self,
         *,
-        holder: spread.Holder,
+        holder: distribution.ConfigurationHolder,
         hear: Callable[[Notice], None],
         make_notice: Callable[[], Notice],
         take_offer: Callable[[wire.RootAnswer], None],
--- a/packages/daisypick_node/src/daisypick_node/configuration_service.py
+++ b/packages/daisypick_node/src/daisypick_node/configuration_service.py
@@ -4,7 +4,7 @@
 follows from what each process sees as live.
 
 See Also:
-    ``daisypick_core.configuration.spread``: the decisions.
+    ``daisypick_core.configuration.distribution``: the decisions.
     ``daisypick_node.configuration_routes``: what other processes can ask.
 """
 
@@ -17,10 +17,10 @@
 import gevent
 import gevent.pool
 
+from daisypick_core.configuration import distribution
+from daisypick_core.configuration import distribution_actions as actions
 from daisypick_core.configuration import model
 from daisypick_core.configuration import rounds
-from daisypick_core.configuration import spread
-from daisypick_core.configuration import spread_actions as actions
 from daisypick_core.configuration import wire
 from daisypick_core.fairness import placement
 from daisypick_core.membership import directory as member_directory
@@ -63,10 +63,10 @@
         install: Callable[[model.Configuration], None],
         clock: Callable[[], float],
         rng: random.Random,
-        limits: rounds.SpreadLimits = rounds.DEFAULT_LIMITS,
+        limits: rounds.DistributionLimits = rounds.DEFAULT_LIMITS,
         watch_seconds: float = WATCH_SECONDS,
     ) -> None:
-        self.holder = spread.Holder(rng=rng, limits=limits)
+        self.holder = distribution.ConfigurationHolder(rng=rng, limits=limits)
         self._own = member_directory.Member(
             address="", role=role, data_centre=data_centre
         )
--- a/packages/daisypick_node/src/daisypick_node/configuration_store.py
+++ b/packages/daisypick_node/src/daisypick_node/configuration_store.py
@@ -7,7 +7,7 @@
 
 See Also:
     ``daisypick_cli.publication``: how a change is written.
-    ``daisypick_core.configuration.spread``: how it goes on from here.
+    ``daisypick_core.configuration.distribution``: how it goes on from here.
 """
 
 import typing
--- a/packages/daisypick_node/tests/test_configuration_service.py
+++ b/packages/daisypick_node/tests/test_configuration_service.py
@@ -43,7 +43,7 @@
             install=self.installed.append,
             clock=time.monotonic,
             rng=random.Random(len(seeds)),
-            limits=rounds.SpreadLimits(
+            limits=rounds.DistributionLimits(
                 exchange_seconds=0.5,
                 start_retry=0.2,
                 suspend_seconds=0.2,
