--- a/packages/daisypick_core/src/daisypick_core/configuration/distribution.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/distribution.py
@@ -116,7 +116,7 @@
         self._startup.begin(sources, now)
         return [actions.FetchRoot(source=one, have="") for one in sources]
 
-    def hear(
+    def record_contact(
         self, peer: str, generation: int, now: float
     ) -> list[actions.Action]:
         """Record the generation that a peer reported in a contact."""
@@ -126,7 +126,7 @@
         self._source_generations.record(peer, generation)
         return self._query_best(now)
 
-    def take_root(
+    def receive_root(
         self,
         source: str,
         answer: wire.RootAnswer | failure_value.Failure,
@@ -151,7 +151,7 @@
             return []
         return self._fetch_tree(source, root, answer.chunk_by_hash, now)
 
-    def take_chunks(
+    def receive_chunks(
         self,
         source: str,
         chunk_by_hash: Mapping[str, bytes] | failure_value.Failure,
@@ -182,13 +182,13 @@
             due += self._rounds.due_exchanges(self.generation, now)
         return due
 
-    def answer_root(self, have: str) -> wire.RootAnswer:
+    def make_root_response(self, have: str) -> wire.RootAnswer:
         """Return the response to a peer that has the tree ``have``."""
         return wire.RootAnswer(
             root=self.root, chunk_by_hash=self._local_chunks.bundle(have)
         )
 
-    def answer_chunks(self, hashes: Sequence[str]) -> dict[str, bytes]:
+    def find_chunks(self, hashes: Sequence[str]) -> dict[str, bytes]:
         """Return the requested chunks that are held."""
         return self._local_chunks.find(hashes[: self._limits.batch])
 
--- a/packages/daisypick_core/src/daisypick_core/configuration/distribution_actions.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/distribution_actions.py
@@ -2,9 +2,9 @@
 
 The driver reports the results; a timeout covers a missing report:
 
-* ``FetchRoot``: by ``take_root``;
-* ``FetchChunks`` and ``FetchPack``: by ``take_chunks``;
-* ``Notify``: by ``hear``, with the generation in the response.
+* ``FetchRoot``: by ``receive_root``;
+* ``FetchChunks`` and ``FetchPack``: by ``receive_chunks``;
+* ``Notify``: by ``record_contact``, with the generation in the response.
 """
 
 from collections.abc import Mapping
--- a/packages/daisypick_core/tests/configuration/test_distribution.py
+++ b/packages/daisypick_core/tests/configuration/test_distribution.py
@@ -71,14 +71,14 @@
             answer = DOWN
             if source:
                 answer = wire.RootAnswer(root=source.root, chunk_by_hash={})
-            pending += holder.take_root(action.source, answer, now)
+            pending += holder.receive_root(action.source, answer, now)
         elif isinstance(action, actions.FetchChunks):
             source = source_by_name[action.source]
             given = {key: source.chunk_by_hash[key] for key in action.hashes}
-            pending += holder.take_chunks(action.source, given, now)
+            pending += holder.receive_chunks(action.source, given, now)
         elif isinstance(action, actions.FetchPack):
             pack = source_by_name[actions.STORE].packs[action.name]
-            pending += holder.take_chunks(actions.STORE, pack, now)
+            pending += holder.receive_chunks(actions.STORE, pack, now)
     return seen
 
 
@@ -103,7 +103,7 @@
         "p3": Source(5),
     }
     first = wire.RootAnswer(root=sources[actions.STORE].root, chunk_by_hash={})
-    assert holder.take_root(actions.STORE, first, 0.0) == []
+    assert holder.receive_root(actions.STORE, first, 0.0) == []
     assert not holder.is_ready
     rest = [action for action in asked if action.source != actions.STORE]
     seen = run(holder, rest, sources)
@@ -148,7 +148,7 @@
     holder.start(0.0)
     source = Source(2)
     answer = wire.RootAnswer(root=source.root, chunk_by_hash={})
-    assert holder.take_root("p3", answer, 0.0) == []
+    assert holder.receive_root("p3", answer, 0.0) == []
     seen = run(holder, holder.tick(3.0), {"p3": source}, now=3.0)
     assert any(isinstance(a, actions.PutInForce) for a in seen)
     assert holder.is_ready
@@ -160,11 +160,11 @@
     holder = start_holder(5)
     stale = Source(3)
     before = holder.configuration
-    assert holder.hear("p1", 3, 1.0) == []
+    assert holder.record_contact("p1", 3, 1.0) == []
     for root in (stale.root, Source(5).root):
         answer = wire.RootAnswer(root=root, chunk_by_hash=stale.chunk_by_hash)
-        assert holder.take_root("p1", answer, 1.0) == []
-    assert holder.take_chunks("p1", stale.chunk_by_hash, 1.0) == []
+        assert holder.receive_root("p1", answer, 1.0) == []
+    assert holder.receive_chunks("p1", stale.chunk_by_hash, 1.0) == []
     assert holder.configuration is before
 
 
@@ -174,18 +174,18 @@
     for generation in (3, 4):
         run(
             ahead,
-            ahead.hear("p1", generation, 1.0),
+            ahead.record_contact("p1", generation, 1.0),
             {"p1": Source(generation)},
         )
-    (request,) = behind.hear("p2", 4, 2.0)
-    answer = ahead.answer_root(request.have)
+    (request,) = behind.record_contact("p2", 4, 2.0)
+    answer = ahead.make_root_response(request.have)
     data = wire.encode_answer(answer)
-    due = behind.take_root("p2", wire.decode_answer(data), 2.0)
+    due = behind.receive_root("p2", wire.decode_answer(data), 2.0)
     assert isinstance(due[0], actions.PutInForce)
     assert due[0].changed_by_section == {"organisations": {"org-0"}}
     assert behind.configuration == make_configuration(4)
     assert len(data) < 4_000
-    assert len(ahead.answer_root("unknown").chunk_by_hash) == 1
+    assert len(ahead.make_root_response("unknown").chunk_by_hash) == 1
 
 
 def test_corrupt_and_partial_chunks_do_no_harm():
@@ -195,18 +195,20 @@
     holder = start_holder(1, batch=8)
     new = Source(6)
     answer = wire.RootAnswer(root=new.root, chunk_by_hash={})
-    (request,) = holder.hear("p1", 6, 1.0)
-    (chunk_request,) = holder.take_root("p1", answer, 1.0)
+    (request,) = holder.record_contact("p1", 6, 1.0)
+    (chunk_request,) = holder.receive_root("p1", answer, 1.0)
     bad = dict.fromkeys(chunk_request.hashes, b"{}")
-    assert holder.take_chunks("p1", bad, 1.0) == []
+    assert holder.receive_chunks("p1", bad, 1.0) == []
     assert holder.generation == 1
-    (request,) = holder.hear("p2", 6, 1.0)
-    (chunk_request,) = holder.take_root("p2", answer, 1.0)
+    (request,) = holder.record_contact("p2", 6, 1.0)
+    (chunk_request,) = holder.receive_root("p2", answer, 1.0)
     given = {key: new.chunk_by_hash[key] for key in chunk_request.hashes}
-    (chunk_request,) = holder.take_chunks("p2", given, 1.0)
-    assert holder.take_chunks("p2", {}, 1.0) == []
+    (chunk_request,) = holder.receive_chunks("p2", given, 1.0)
+    assert holder.receive_chunks("p2", {}, 1.0) == []
     assert holder.generation == 1
-    seen = run(holder, holder.hear("p3", 6, 1.0), {"p3": new}, now=1.0)
+    seen = run(
+        holder, holder.record_contact("p3", 6, 1.0), {"p3": new}, now=1.0
+    )
     asked = [a.hashes for a in seen if isinstance(a, actions.FetchChunks)]
     assert not set(given) & set(itertools.chain(*asked))
     assert holder.configuration == make_configuration(6)
@@ -218,21 +220,21 @@
     top = chunks.hash_chunk(chunk)
     root = root_object.make_root(generation=9, change_id="x", top=top)
     answer = wire.RootAnswer(root=root, chunk_by_hash={top: chunk})
-    (rejection,) = holder.take_root("p1", answer, 1.0)
+    (rejection,) = holder.receive_root("p1", answer, 1.0)
     assert rejection.failure.code == codes.BAD_CHUNK
-    assert holder.take_root("p2", answer, 1.0) == []
-    assert holder.hear("p3", 10, 1.5) == []
+    assert holder.receive_root("p2", answer, 1.0) == []
+    assert holder.record_contact("p3", 10, 1.5) == []
     run(holder, holder.tick(2.0), {"p3": Source(10)}, now=2.0)
     assert holder.generation == 10
 
 
 def test_peer_that_reports_a_generation_it_lacks_is_suspended():
     holder = start_holder(2)
-    (request,) = holder.hear("p1", 1_000_000, 1.0)
+    (request,) = holder.record_contact("p1", 1_000_000, 1.0)
     answer = wire.RootAnswer(root=Source(2).root, chunk_by_hash={})
-    assert holder.take_root(request.source, answer, 1.0) == []
-    assert holder.hear("p1", 1_000_000, 1.1) == []
-    assert len(holder.hear("p2", 3, 1.2)) == 1
+    assert holder.receive_root(request.source, answer, 1.0) == []
+    assert holder.record_contact("p1", 1_000_000, 1.1) == []
+    assert len(holder.record_contact("p2", 3, 1.2)) == 1
 
 
 def test_sender_of_an_incomplete_push_is_not_asked_for_more():
@@ -242,13 +244,13 @@
     holder = start_holder(1)
     new = Source(6)
     answer = wire.RootAnswer(root=new.root, chunk_by_hash={})
-    (request,) = holder.take_root(actions.OPERATOR, answer, 1.0)
-    due = holder.take_chunks(request.source, DOWN, 1.0)
+    (request,) = holder.receive_root(actions.OPERATOR, answer, 1.0)
+    due = holder.receive_chunks(request.source, DOWN, 1.0)
     for now in (2.0, 10.0, 20.0):
         due += holder.tick(now)
     asked = [a.source for a in due if isinstance(a, actions.FetchRoot)]
     assert actions.OPERATOR not in asked
-    run(holder, holder.hear("p1", 6, 20.0), {"p1": new}, now=20.0)
+    run(holder, holder.record_contact("p1", 6, 20.0), {"p1": new}, now=20.0)
     assert holder.generation == 6
 
 
@@ -258,12 +260,12 @@
     holder = start_holder(1)
     new = Source(6)
     answer = wire.RootAnswer(root=new.root, chunk_by_hash={})
-    assert len(holder.take_root(actions.STORE, answer, 1.0)) == 1
-    assert holder.take_root("p1", answer, 1.0) == []
+    assert len(holder.receive_root(actions.STORE, answer, 1.0)) == 1
+    assert holder.receive_root("p1", answer, 1.0) == []
     offer = answer._replace(chunk_by_hash=new.chunk_by_hash)
-    due = holder.take_root(actions.OPERATOR, offer, 1.0)
+    due = holder.receive_root(actions.OPERATOR, offer, 1.0)
     assert isinstance(due[0], actions.PutInForce)
-    assert holder.take_chunks(actions.STORE, new.packs["news"], 2.0) == []
+    assert holder.receive_chunks(actions.STORE, new.packs["news"], 2.0) == []
     assert holder.generation == 6
 
 
@@ -271,19 +273,19 @@
     # A data centre is taken out of service and put back: the tree equals the
     # former one, whose chunks the node has kept.
     holder = start_holder(1)
-    run(holder, holder.hear("p1", 2, 1.0), {"p1": Source(2)}, now=1.0)
+    run(holder, holder.record_contact("p1", 2, 1.0), {"p1": Source(2)}, now=1.0)
     back = root_object.make_root(
         generation=3, change_id="c3", top=Source(1).root.top
     )
     answer = wire.RootAnswer(root=back, chunk_by_hash={})
-    due = holder.take_root("p1", answer, 2.0)
+    due = holder.receive_root("p1", answer, 2.0)
     assert due[0].configuration == make_configuration(1)._replace(generation=3)
 
 
 def test_source_that_times_out_is_replaced():
     holder = start_holder(2)
-    (request,) = holder.hear("p1", 3, 1.0)
-    assert (request.source, holder.hear("p2", 3, 1.0)) == ("p1", [])
+    (request,) = holder.record_contact("p1", 3, 1.0)
+    assert (request.source, holder.record_contact("p2", 3, 1.0)) == ("p1", [])
     seen = run(holder, holder.tick(4.0), {"p2": Source(3)}, now=4.0)
     assert holder.generation == 3
     assert any(isinstance(a, actions.Notify) for a in seen)
@@ -295,7 +297,7 @@
     for step in range(40):
         now = 2.0 + step / 10
         generation = 3 + step
-        due = holder.hear("p1", generation, now)
+        due = holder.record_contact("p1", generation, now)
         due += holder.tick(now)
         seen = run(holder, due, {"p1": Source(generation)}, now=now)
         notices += [a for a in seen if isinstance(a, actions.Notify)]
@@ -315,7 +317,7 @@
 def test_store_restored_from_an_old_backup_is_detected():
     holder = start_holder(5)
     answer = wire.RootAnswer(root=Source(3).root, chunk_by_hash={})
-    assert holder.take_root(actions.STORE, answer, 1.0) == []
+    assert holder.receive_root(actions.STORE, answer, 1.0) == []
     assert holder.describe()["is_store_behind"]
     assert holder.generation == 5
 
@@ -336,16 +338,16 @@
 def deliver(holder, event, name, source, now):
     """Deliver an unsolicited event; return the resulting actions."""
     if event == "hear":
-        return holder.hear(name, source.root.generation, now)
+        return holder.record_contact(name, source.root.generation, now)
     if event == "chunks":
-        return holder.take_chunks(name, source.chunk_by_hash, now)
+        return holder.receive_chunks(name, source.chunk_by_hash, now)
     if event == "fail":
-        return holder.take_root(name, DOWN, now)
+        return holder.receive_root(name, DOWN, now)
     if event == "tick":
         return holder.tick(now)
     chunk_by_hash = source.chunk_by_hash if event == "whole" else {}
     answer = wire.RootAnswer(root=source.root, chunk_by_hash=chunk_by_hash)
-    return holder.take_root(name, answer, now)
+    return holder.receive_root(name, answer, now)
 
 
 @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
--- a/packages/daisypick_lab/src/daisypick_lab/configuration_fleet.py
+++ b/packages/daisypick_lab/src/daisypick_lab/configuration_fleet.py
@@ -168,7 +168,7 @@
                 ),
             )
             holder.start(0.0)
-            holder.take_root(actions.OPERATOR, answer, 0.0)
+            holder.receive_root(actions.OPERATOR, answer, 0.0)
             phase = self._rng.random() * TICK_SECONDS
             self._at(phase, lambda n=number: self._tick(n))
 
@@ -234,7 +234,7 @@
             STORE_SECONDS,
             lambda: self._carry_out(
                 number,
-                self._holders[number].take_root(source, answer, self._now),
+                self._holders[number].receive_root(source, answer, self._now),
             ),
         )
 
@@ -273,14 +273,14 @@
     def _notify(self, number: int, peer: int, generation: int) -> None:
         def _serve() -> int:
             holder = self._holders[peer]
-            due = holder.hear(str(number), generation, self._now)
+            due = holder.record_contact(str(number), generation, self._now)
             self._carry_out(peer, due)
             return holder.generation
 
         def _answered(reply: int | failure_value.Failure) -> None:
             if not failure_value.is_failure(reply):
                 holder = self._holders[number]
-                due = holder.hear(str(peer), reply, self._now)
+                due = holder.record_contact(str(peer), reply, self._now)
                 self._carry_out(number, due)
 
         self._call(number, peer, _serve, _answered, lambda _: 2 * NOTICE_BYTES)
@@ -288,7 +288,7 @@
     def _fetch_root(self, number: int, action: actions.FetchRoot) -> None:
         def _take(answer: wire.RootAnswer | failure_value.Failure) -> None:
             holder = self._holders[number]
-            due = holder.take_root(action.source, answer, self._now)
+            due = holder.receive_root(action.source, answer, self._now)
             self._carry_out(number, due)
 
         if action.source == actions.STORE:
@@ -298,7 +298,7 @@
         self._call(
             number,
             peer,
-            lambda: self._holders[peer].answer_root(action.have),
+            lambda: self._holders[peer].make_root_response(action.have),
             _take,
             lambda answer: len(wire.encode_answer(answer)),
         )
@@ -312,7 +312,7 @@
         self._call(
             number,
             peer,
-            lambda: self._holders[peer].answer_chunks(action.hashes),
+            lambda: self._holders[peer].find_chunks(action.hashes),
             take,
             lambda given: len(wire.encode_chunks(given)),
         )
@@ -325,7 +325,7 @@
     def _taker(self, number: int, source: str) -> Callable[[typing.Any], None]:
         def _take(given: dict[str, bytes] | failure_value.Failure) -> None:
             holder = self._holders[number]
-            due = holder.take_chunks(source, given, self._now)
+            due = holder.receive_chunks(source, given, self._now)
             self._carry_out(number, due)
 
         return _take
--- a/packages/daisypick_lab/src/daisypick_lab/configuration_size.py
+++ b/packages/daisypick_lab/src/daisypick_lab/configuration_size.py
@@ -117,7 +117,7 @@
         encoded = wire.encode_answer(answer)
         size += len(encoded)
         started = time.process_time()
-        holder.take_root("peer", wire.decode_answer(encoded), 1.0)
+        holder.receive_root("peer", wire.decode_answer(encoded), 1.0)
         seconds += time.process_time() - started
         assert holder.generation == generation
     return Size(
@@ -146,7 +146,7 @@
     started = time.process_time()
     answer = wire.decode_answer(first)
     answer = answer._replace(chunk_by_hash=wire.decode_chunks(data))
-    holder.take_root(actions.OPERATOR, answer, 0.0)
+    holder.receive_root(actions.OPERATOR, answer, 0.0)
     assert holder.generation == 1
     return time.process_time() - started
 
--- a/packages/daisypick_node/src/daisypick_node/configuration_routes.py
+++ b/packages/daisypick_node/src/daisypick_node/configuration_routes.py
@@ -79,11 +79,11 @@
 
     def _serve_root(self, call: routes.Call) -> routes.Reply:
         have = urllib.parse.parse_qs(call.query).get("have", [""])[0]
-        return _reply(wire.encode_answer(self._holder.answer_root(have)))
+        return _reply(wire.encode_answer(self._holder.make_root_response(have)))
 
     def _serve_chunks(self, call: routes.Call) -> routes.Reply:
         hashes = call.path[len(CHUNK) :].split(",")
-        found = self._holder.answer_chunks(hashes)
+        found = self._holder.find_chunks(hashes)
         if not found:
             return routes.reply_failure(
                 failure_value.Failure(
--- a/packages/daisypick_node/src/daisypick_node/configuration_service.py
+++ b/packages/daisypick_node/src/daisypick_node/configuration_service.py
@@ -106,7 +106,7 @@
         """Learn from a request or an answer that a peer has a generation."""
         now = self._clock()
         self.directory.record_contact(peer, now)
-        self._carry_out(self.holder.hear(peer, generation, now))
+        self._carry_out(self.holder.record_contact(peer, generation, now))
 
     def handlers(self) -> routes.Routes:
         """Return the table of handlers."""
@@ -162,7 +162,7 @@
         elif isinstance(action, actions.FetchRoot):
             answer = self._fetch_root(action)
             self._note_outcome(action.source, answer)
-            due = self.holder.take_root(action.source, answer, self._clock())
+            due = self.holder.receive_root(action.source, answer, self._clock())
             self._carry_out(due)
         elif isinstance(action, actions.FetchChunks):
             chunk_by_hash = self._fetch_chunks(action)
@@ -178,7 +178,7 @@
         chunk_by_hash: dict[str, bytes] | failure_value.Failure,
     ) -> None:
         now = self._clock()
-        self._carry_out(self.holder.take_chunks(source, chunk_by_hash, now))
+        self._carry_out(self.holder.receive_chunks(source, chunk_by_hash, now))
 
     def _fetch_root(
         self, action: actions.FetchRoot
@@ -235,7 +235,7 @@
 
     def _take_offer(self, answer: wire.RootAnswer) -> None:
         now = self._clock()
-        due = self.holder.take_root(actions.OPERATOR, answer, now)
+        due = self.holder.receive_root(actions.OPERATOR, answer, now)
         self._carry_out(due)
 
     def _note_outcome(self, source: str, outcome: object) -> None:
@@ -263,7 +263,9 @@
                 gossip_entry.member, now, age=gossip_entry.age
             )
         peer = notice["member"].address
-        self._carry_out(self.holder.hear(peer, notice["generation"], now))
+        self._carry_out(
+            self.holder.record_contact(peer, notice["generation"], now)
+        )
 
     def _tick_forever(self) -> None:
         while True:
@@ -336,4 +338,4 @@
         if not failure_value.is_failure(decoded):
             answer = wire.RootAnswer(root=decoded.root, chunk_by_hash={})
         now = self._clock()
-        self._carry_out(self.holder.take_root(actions.STORE, answer, now))
+        self._carry_out(self.holder.receive_root(actions.STORE, answer, now))
