--- a/packages/daisypick_cli/src/daisypick_cli/applying.py
+++ b/packages/daisypick_cli/src/daisypick_cli/applying.py
@@ -164,7 +164,7 @@
         """
         told = asked = 0
         if self._processes is not None:
-            offer = wire.RootAnswer(
+            offer = wire.RootResponse(
                 root=published.root, chunk_by_hash=published.chunk_by_hash
             )
             addresses = fleet.choose_agents(
--- a/packages/daisypick_cli/src/daisypick_cli/processes.py
+++ b/packages/daisypick_cli/src/daisypick_cli/processes.py
@@ -50,16 +50,16 @@
         data = self._peers.call(address, "GET", configuration_routes.ROOT)
         if failure_value.is_failure(data):
             return data
-        answer = wire.decode_answer(data)
+        answer = wire.decode_response(data)
         if failure_value.is_failure(answer):
             return answer
         return answer.root.generation if answer.root else 0
 
     def offer(
-        self, address: str, answer: wire.RootAnswer
+        self, address: str, answer: wire.RootResponse
     ) -> int | failure_value.Failure:
         """Offer an accepted root; return the generation then in force."""
-        message = msgspec.Raw(wire.encode_answer(answer))
+        message = msgspec.Raw(wire.encode_response(answer))
         data = self._peers.call(
             address, "POST", configuration_routes.OFFER, message
         )
--- a/packages/daisypick_core/src/daisypick_core/configuration/distribution.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/distribution.py
@@ -129,17 +129,17 @@
     def receive_root(
         self,
         source: str,
-        answer: wire.RootAnswer | failure_value.Failure,
+        response: wire.RootResponse | failure_value.Failure,
         now: float,
     ) -> list[actions.Action]:
         """Process the root of a source, requested or not."""
         if self._queried is not None and self._queried[0] == source:
             self._queried = None
-        if failure_value.is_failure(answer):
+        if failure_value.is_failure(response):
             return self._source_failed(source, now)
         if source != STORE:
             self._rounds.note_contact(now)
-        root = answer.root
+        root = response.root
         self._compare_root(source, root)
         self._record_root(source, root, now)
         if self._startup.is_pending(source):
@@ -149,7 +149,7 @@
         if root.digest in self._rejected:
             self._paused_until = now + self._limits.notice_seconds
             return []
-        return self._fetch_tree(source, root, answer.chunk_by_hash, now)
+        return self._fetch_tree(source, root, response.chunk_by_hash, now)
 
     def receive_chunks(
         self,
@@ -182,9 +182,9 @@
             due += self._rounds.due_exchanges(self.generation, now)
         return due
 
-    def make_root_response(self, have: str) -> wire.RootAnswer:
+    def make_root_response(self, have: str) -> wire.RootResponse:
         """Return the response to a peer that has the tree ``have``."""
-        return wire.RootAnswer(
+        return wire.RootResponse(
             root=self.root, chunk_by_hash=self._local_chunks.bundle(have)
         )
 
--- a/packages/daisypick_core/src/daisypick_core/configuration/wire.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/wire.py
@@ -23,7 +23,7 @@
 from daisypick_core.results import failure as failure_value
 
 
-class RootAnswer(typing.NamedTuple):
+class RootResponse(typing.NamedTuple):
     """A root and the chunks that the receiver is expected to lack.
 
     Attributes:
@@ -35,34 +35,34 @@
     chunk_by_hash: Mapping[str, bytes]
 
 
-class _AnswerDocument(typing.TypedDict):
+class _ResponseDocument(typing.TypedDict):
     root: root_object.RootDocument | None
     chunks: dict[str, msgspec.Raw]
 
 
-_answer_decoder = msgspec.json.Decoder(_AnswerDocument)
+_response_decoder = msgspec.json.Decoder(_ResponseDocument)
 _chunks_decoder = msgspec.json.Decoder(dict[str, msgspec.Raw])
 
 
-def encode_answer(answer: RootAnswer) -> bytes:
+def encode_response(response: RootResponse) -> bytes:
     """Return the JSON form of a response, without store object names."""
     document = None
-    if answer.root is not None:
-        bare = answer.root._replace(packs=(), recent=())
+    if response.root is not None:
+        bare = response.root._replace(packs=(), recent=())
         document = root_object.to_document(bare)
     return msgspec.json.encode(
-        {"root": document, "chunks": _to_raw(answer.chunk_by_hash)}
+        {"root": document, "chunks": _to_raw(response.chunk_by_hash)}
     )
 
 
-def decode_answer(data: bytes) -> RootAnswer | failure_value.Failure:
+def decode_response(data: bytes) -> RootResponse | failure_value.Failure:
     """Return a verified response; corrupt chunks are dropped.
 
     Failures: ``BAD_MESSAGE`` if the data cannot be decoded, ``BAD_CHUNK`` if
     its root is corrupt.
     """
     try:
-        document = _answer_decoder.decode(data)
+        document = _response_decoder.decode(data)
     except msgspec.MsgspecError as error:
         return _bad_message(error)
     root = None
@@ -70,7 +70,7 @@
         root = root_object.from_document(document["root"])
         if failure_value.is_failure(root):
             return root
-    return RootAnswer(root=root, chunk_by_hash=_from_raw(document["chunks"]))
+    return RootResponse(root=root, chunk_by_hash=_from_raw(document["chunks"]))
 
 
 def encode_chunks(chunk_by_hash: Mapping[str, bytes]) -> bytes:
--- a/packages/daisypick_core/tests/configuration/test_distribution.py
+++ b/packages/daisypick_core/tests/configuration/test_distribution.py
@@ -68,10 +68,10 @@
         seen.append(action)
         if isinstance(action, actions.FetchRoot):
             source = source_by_name.get(action.source)
-            answer = DOWN
+            response = DOWN
             if source:
-                answer = wire.RootAnswer(root=source.root, chunk_by_hash={})
-            pending += holder.receive_root(action.source, answer, now)
+                response = wire.RootResponse(root=source.root, chunk_by_hash={})
+            pending += holder.receive_root(action.source, response, now)
         elif isinstance(action, actions.FetchChunks):
             source = source_by_name[action.source]
             given = {key: source.chunk_by_hash[key] for key in action.hashes}
@@ -102,7 +102,9 @@
         "p1": Source(2),
         "p3": Source(5),
     }
-    first = wire.RootAnswer(root=sources[actions.STORE].root, chunk_by_hash={})
+    first = wire.RootResponse(
+        root=sources[actions.STORE].root, chunk_by_hash={}
+    )
     assert holder.receive_root(actions.STORE, first, 0.0) == []
     assert not holder.is_ready
     rest = [action for action in asked if action.source != actions.STORE]
@@ -147,8 +149,8 @@
     holder = make_holder()
     holder.start(0.0)
     source = Source(2)
-    answer = wire.RootAnswer(root=source.root, chunk_by_hash={})
-    assert holder.receive_root("p3", answer, 0.0) == []
+    response = wire.RootResponse(root=source.root, chunk_by_hash={})
+    assert holder.receive_root("p3", response, 0.0) == []
     seen = run(holder, holder.tick(3.0), {"p3": source}, now=3.0)
     assert any(isinstance(a, actions.PutInForce) for a in seen)
     assert holder.is_ready
@@ -162,8 +164,10 @@
     before = holder.configuration
     assert holder.record_contact("p1", 3, 1.0) == []
     for root in (stale.root, Source(5).root):
-        answer = wire.RootAnswer(root=root, chunk_by_hash=stale.chunk_by_hash)
-        assert holder.receive_root("p1", answer, 1.0) == []
+        response = wire.RootResponse(
+            root=root, chunk_by_hash=stale.chunk_by_hash
+        )
+        assert holder.receive_root("p1", response, 1.0) == []
     assert holder.receive_chunks("p1", stale.chunk_by_hash, 1.0) == []
     assert holder.configuration is before
 
@@ -178,9 +182,9 @@
             {"p1": Source(generation)},
         )
     (request,) = behind.record_contact("p2", 4, 2.0)
-    answer = ahead.make_root_response(request.have)
-    data = wire.encode_answer(answer)
-    due = behind.receive_root("p2", wire.decode_answer(data), 2.0)
+    response = ahead.make_root_response(request.have)
+    data = wire.encode_response(response)
+    due = behind.receive_root("p2", wire.decode_response(data), 2.0)
     assert isinstance(due[0], actions.PutInForce)
     assert due[0].changed_by_section == {"organisations": {"org-0"}}
     assert behind.configuration == make_configuration(4)
@@ -194,14 +198,14 @@
     # completes the fetch from p3.
     holder = start_holder(1, batch=8)
     new = Source(6)
-    answer = wire.RootAnswer(root=new.root, chunk_by_hash={})
+    response = wire.RootResponse(root=new.root, chunk_by_hash={})
     (request,) = holder.record_contact("p1", 6, 1.0)
-    (chunk_request,) = holder.receive_root("p1", answer, 1.0)
+    (chunk_request,) = holder.receive_root("p1", response, 1.0)
     bad = dict.fromkeys(chunk_request.hashes, b"{}")
     assert holder.receive_chunks("p1", bad, 1.0) == []
     assert holder.generation == 1
     (request,) = holder.record_contact("p2", 6, 1.0)
-    (chunk_request,) = holder.receive_root("p2", answer, 1.0)
+    (chunk_request,) = holder.receive_root("p2", response, 1.0)
     given = {key: new.chunk_by_hash[key] for key in chunk_request.hashes}
     (chunk_request,) = holder.receive_chunks("p2", given, 1.0)
     assert holder.receive_chunks("p2", {}, 1.0) == []
@@ -219,10 +223,10 @@
     chunk = b'{"organisations/o":{"share":"big"}}'
     top = chunks.hash_chunk(chunk)
     root = root_object.make_root(generation=9, change_id="x", top=top)
-    answer = wire.RootAnswer(root=root, chunk_by_hash={top: chunk})
-    (rejection,) = holder.receive_root("p1", answer, 1.0)
+    response = wire.RootResponse(root=root, chunk_by_hash={top: chunk})
+    (rejection,) = holder.receive_root("p1", response, 1.0)
     assert rejection.failure.code == codes.BAD_CHUNK
-    assert holder.receive_root("p2", answer, 1.0) == []
+    assert holder.receive_root("p2", response, 1.0) == []
     assert holder.record_contact("p3", 10, 1.5) == []
     run(holder, holder.tick(2.0), {"p3": Source(10)}, now=2.0)
     assert holder.generation == 10
@@ -231,8 +235,8 @@
 def test_peer_that_reports_a_generation_it_lacks_is_suspended():
     holder = start_holder(2)
     (request,) = holder.record_contact("p1", 1_000_000, 1.0)
-    answer = wire.RootAnswer(root=Source(2).root, chunk_by_hash={})
-    assert holder.receive_root(request.source, answer, 1.0) == []
+    response = wire.RootResponse(root=Source(2).root, chunk_by_hash={})
+    assert holder.receive_root(request.source, response, 1.0) == []
     assert holder.record_contact("p1", 1_000_000, 1.1) == []
     assert len(holder.record_contact("p2", 3, 1.2)) == 1
 
@@ -243,8 +247,8 @@
     # requests; the node continues with the next peer that contacts it.
     holder = start_holder(1)
     new = Source(6)
-    answer = wire.RootAnswer(root=new.root, chunk_by_hash={})
-    (request,) = holder.receive_root(actions.OPERATOR, answer, 1.0)
+    response = wire.RootResponse(root=new.root, chunk_by_hash={})
+    (request,) = holder.receive_root(actions.OPERATOR, response, 1.0)
     due = holder.receive_chunks(request.source, DOWN, 1.0)
     for now in (2.0, 10.0, 20.0):
         due += holder.tick(now)
@@ -259,10 +263,10 @@
     # command line pushes the same change with its chunks.
     holder = start_holder(1)
     new = Source(6)
-    answer = wire.RootAnswer(root=new.root, chunk_by_hash={})
-    assert len(holder.receive_root(actions.STORE, answer, 1.0)) == 1
-    assert holder.receive_root("p1", answer, 1.0) == []
-    offer = answer._replace(chunk_by_hash=new.chunk_by_hash)
+    response = wire.RootResponse(root=new.root, chunk_by_hash={})
+    assert len(holder.receive_root(actions.STORE, response, 1.0)) == 1
+    assert holder.receive_root("p1", response, 1.0) == []
+    offer = response._replace(chunk_by_hash=new.chunk_by_hash)
     due = holder.receive_root(actions.OPERATOR, offer, 1.0)
     assert isinstance(due[0], actions.PutInForce)
     assert holder.receive_chunks(actions.STORE, new.packs["news"], 2.0) == []
@@ -277,8 +281,8 @@
     back = root_object.make_root(
         generation=3, change_id="c3", top=Source(1).root.top
     )
-    answer = wire.RootAnswer(root=back, chunk_by_hash={})
-    due = holder.receive_root("p1", answer, 2.0)
+    response = wire.RootResponse(root=back, chunk_by_hash={})
+    due = holder.receive_root("p1", response, 2.0)
     assert due[0].configuration == make_configuration(1)._replace(generation=3)
 
 
@@ -316,8 +320,8 @@
 
 def test_store_restored_from_an_old_backup_is_detected():
     holder = start_holder(5)
-    answer = wire.RootAnswer(root=Source(3).root, chunk_by_hash={})
-    assert holder.receive_root(actions.STORE, answer, 1.0) == []
+    response = wire.RootResponse(root=Source(3).root, chunk_by_hash={})
+    assert holder.receive_root(actions.STORE, response, 1.0) == []
     assert holder.describe()["is_store_behind"]
     assert holder.generation == 5
 
@@ -346,8 +350,8 @@
     if event == "tick":
         return holder.tick(now)
     chunk_by_hash = source.chunk_by_hash if event == "whole" else {}
-    answer = wire.RootAnswer(root=source.root, chunk_by_hash=chunk_by_hash)
-    return holder.receive_root(name, answer, now)
+    response = wire.RootResponse(root=source.root, chunk_by_hash=chunk_by_hash)
+    return holder.receive_root(name, response, now)
 
 
 @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
--- a/packages/daisypick_lab/src/daisypick_lab/configuration_fleet.py
+++ b/packages/daisypick_lab/src/daisypick_lab/configuration_fleet.py
@@ -156,7 +156,7 @@
 
     def _bring_up(self) -> None:
         """Give every node the first generation, at no cost."""
-        answer = wire.RootAnswer(self._root, self._tree.chunk_by_hash)
+        answer = wire.RootResponse(self._root, self._tree.chunk_by_hash)
         for number, holder in enumerate(self._holders):
             nodes = len(self._holders)
             holder.set_peers(
@@ -215,8 +215,8 @@
 
     def _tell(self, root: root_object.Root, pack: dict[str, bytes]) -> None:
         is_up = self._now < self._scenario.store_up_until
-        watched = wire.RootAnswer(root, {})
-        offer = wire.RootAnswer(root, pack)
+        watched = wire.RootResponse(root, {})
+        offer = wire.RootResponse(root, pack)
         for number in range(len(self._holders)):
             rank = number // configuration_places.DATA_CENTRES
             if is_up and rank < self._scenario.watchers:
@@ -225,11 +225,11 @@
                 self._deliver_root(number, actions.OPERATOR, offer)
 
     def _deliver_root(
-        self, number: int, source: str, answer: wire.RootAnswer
+        self, number: int, source: str, answer: wire.RootResponse
     ) -> None:
         if self._is_cut(configuration_places.place(number), None):
             return
-        self._count(None, len(wire.encode_answer(answer)))
+        self._count(None, len(wire.encode_response(answer)))
         self._after(
             STORE_SECONDS,
             lambda: self._carry_out(
@@ -286,13 +286,13 @@
         self._call(number, peer, _serve, _answered, lambda _: 2 * NOTICE_BYTES)
 
     def _fetch_root(self, number: int, action: actions.FetchRoot) -> None:
-        def _take(answer: wire.RootAnswer | failure_value.Failure) -> None:
+        def _take(answer: wire.RootResponse | failure_value.Failure) -> None:
             holder = self._holders[number]
             due = holder.receive_root(action.source, answer, self._now)
             self._carry_out(number, due)
 
         if action.source == actions.STORE:
-            self._read_store(number, wire.RootAnswer(self._root, {}), _take)
+            self._read_store(number, wire.RootResponse(self._root, {}), _take)
             return
         peer = int(action.source)
         self._call(
@@ -300,7 +300,7 @@
             peer,
             lambda: self._holders[peer].make_root_response(action.have),
             _take,
-            lambda answer: len(wire.encode_answer(answer)),
+            lambda answer: len(wire.encode_response(answer)),
         )
 
     def _fetch_chunks(self, number: int, action: actions.FetchChunks) -> None:
@@ -333,7 +333,7 @@
     def _read_store(
         self,
         number: int,
-        value: wire.RootAnswer | dict[str, bytes],
+        value: wire.RootResponse | dict[str, bytes],
         take: Callable[[typing.Any], None],
     ) -> None:
         is_up = self._now < self._scenario.store_up_until
--- a/packages/daisypick_lab/src/daisypick_lab/configuration_size.py
+++ b/packages/daisypick_lab/src/daisypick_lab/configuration_size.py
@@ -96,7 +96,7 @@
     """Load a configuration into a holder, then change it a few times."""
     configuration = make_configuration(organisations)
     tree = chunks.split(configuration)
-    first = wire.encode_answer(wire.RootAnswer(_root(1, tree), {}))
+    first = wire.encode_response(wire.RootResponse(_root(1, tree), {}))
     data = wire.encode_chunks(tree.chunk_by_hash)
     memory = _measure_memory(first, data)
     holder = distribution.ConfigurationHolder(rng=random.Random(1))
@@ -105,7 +105,7 @@
     for generation in range(2, 2 + CHANGES):
         configuration = _change(configuration, generation)
         news = chunks.split(configuration)
-        answer = wire.RootAnswer(
+        answer = wire.RootResponse(
             _root(generation, news),
             {
                 key: chunk
@@ -114,10 +114,10 @@
             },
         )
         tree = news
-        encoded = wire.encode_answer(answer)
+        encoded = wire.encode_response(answer)
         size += len(encoded)
         started = time.process_time()
-        holder.receive_root("peer", wire.decode_answer(encoded), 1.0)
+        holder.receive_root("peer", wire.decode_response(encoded), 1.0)
         seconds += time.process_time() - started
         assert holder.generation == generation
     return Size(
@@ -144,7 +144,7 @@
     holder: distribution.ConfigurationHolder, first: bytes, data: bytes
 ) -> float:
     started = time.process_time()
-    answer = wire.decode_answer(first)
+    answer = wire.decode_response(first)
     answer = answer._replace(chunk_by_hash=wire.decode_chunks(data))
     holder.receive_root(actions.OPERATOR, answer, 0.0)
     assert holder.generation == 1
--- a/packages/daisypick_node/src/daisypick_node/configuration_routes.py
+++ b/packages/daisypick_node/src/daisypick_node/configuration_routes.py
@@ -61,7 +61,7 @@
         holder: distribution.ConfigurationHolder,
         hear: Callable[[Notice], None],
         make_notice: Callable[[], Notice],
-        take_offer: Callable[[wire.RootAnswer], None],
+        take_offer: Callable[[wire.RootResponse], None],
     ) -> None:
         self._holder = holder
         self._hear = hear
@@ -79,7 +79,9 @@
 
     def _serve_root(self, call: routes.Call) -> routes.Reply:
         have = urllib.parse.parse_qs(call.query).get("have", [""])[0]
-        return _reply(wire.encode_answer(self._holder.make_root_response(have)))
+        return _reply(
+            wire.encode_response(self._holder.make_root_response(have))
+        )
 
     def _serve_chunks(self, call: routes.Call) -> routes.Reply:
         hashes = call.path[len(CHUNK) :].split(",")
@@ -104,7 +106,7 @@
         body = call.read_body()
         if failure_value.is_failure(body):
             return routes.reply_failure(body)
-        answer = wire.decode_answer(body)
+        answer = wire.decode_response(body)
         if failure_value.is_failure(answer):
             return routes.reply_failure(answer)
         self._take_offer(answer)
--- a/packages/daisypick_node/src/daisypick_node/configuration_service.py
+++ b/packages/daisypick_node/src/daisypick_node/configuration_service.py
@@ -182,7 +182,7 @@
 
     def _fetch_root(
         self, action: actions.FetchRoot
-    ) -> wire.RootAnswer | failure_value.Failure:
+    ) -> wire.RootResponse | failure_value.Failure:
         if action.source == actions.STORE:
             return self._read_stored_root()
         query = urllib.parse.urlencode({"have": action.have})
@@ -190,14 +190,14 @@
         data = self._call(action.source, "GET", path)
         if failure_value.is_failure(data):
             return data
-        return wire.decode_answer(data)
+        return wire.decode_response(data)
 
-    def _read_stored_root(self) -> wire.RootAnswer | failure_value.Failure:
+    def _read_stored_root(self) -> wire.RootResponse | failure_value.Failure:
         stored = configuration_store.read_root(self._platform)
         if not failure_value.is_failure(stored):
-            return wire.RootAnswer(root=stored.root, chunk_by_hash={})
+            return wire.RootResponse(root=stored.root, chunk_by_hash={})
         if stored.code == codes.NOT_FOUND:
-            return wire.RootAnswer(root=None, chunk_by_hash={})
+            return wire.RootResponse(root=None, chunk_by_hash={})
         return stored
 
     def _fetch_chunks(
@@ -233,7 +233,7 @@
                 code=codes.PEER_UNREACHABLE, reason=str(error)
             )
 
-    def _take_offer(self, answer: wire.RootAnswer) -> None:
+    def _take_offer(self, answer: wire.RootResponse) -> None:
         now = self._clock()
         due = self.holder.receive_root(actions.OPERATOR, answer, now)
         self._carry_out(due)
@@ -334,8 +334,8 @@
     def _take_watched(self, stored: interface.StoredObject) -> None:
         self._version = stored.version
         decoded = configuration_store.decode_root(stored)
-        answer: wire.RootAnswer | failure_value.Failure = decoded
+        answer: wire.RootResponse | failure_value.Failure = decoded
         if not failure_value.is_failure(decoded):
-            answer = wire.RootAnswer(root=decoded.root, chunk_by_hash={})
+            answer = wire.RootResponse(root=decoded.root, chunk_by_hash={})
         now = self._clock()
         self._carry_out(self.holder.receive_root(actions.STORE, answer, now))
--- a/packages/daisypick_node/tests/test_configuration_service.py
+++ b/packages/daisypick_node/tests/test_configuration_service.py
@@ -97,7 +97,7 @@
     root = root_object.make_root(
         generation=generation, change_id="c", top=tree.top, packs=packs
     )
-    return wire.RootAnswer(root=root, chunk_by_hash=tree.chunk_by_hash)
+    return wire.RootResponse(root=root, chunk_by_hash=tree.chunk_by_hash)
 
 
 def store(platform, generation):
@@ -141,7 +141,7 @@
     wait_until(all_at(nodes, 1))
     platform.set_faults(faults.Faults(outage=faults.UNAVAILABLE))
     operator = peers_module.Peers(fleet_key="operator-key", timeout=1.0)
-    offer = wire.encode_answer(make_answer(2))
+    offer = wire.encode_response(make_answer(2))
     answer = operator.call(
         nodes[0].address,
         "POST",
