--- a/packages/daisypick_core/src/daisypick_core/configuration/distribution.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/distribution.py
@@ -343,12 +343,12 @@
         self._source_generations.forget_up_to(self.generation)
         self._complete_startup()
         self._rounds.note_change()
-        in_force = actions.PutInForce(
+        activate = actions.Activate(
             configuration=patched.configuration,
             changed_by_section=patched.changed_by_section,
         )
         return [
-            in_force,
+            activate,
             *self._rounds.due_notices(self.generation, now),
             *self._query_best(now),
         ]
--- a/packages/daisypick_core/src/daisypick_core/configuration/distribution_actions.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/distribution_actions.py
@@ -51,7 +51,7 @@
     generation: int
 
 
-class PutInForce(typing.NamedTuple):
+class Activate(typing.NamedTuple):
     """Use a configuration from now on.
 
     Attributes:
@@ -71,4 +71,4 @@
     failure: failure_value.Failure
 
 
-Action = FetchRoot | FetchChunks | FetchPack | Notify | PutInForce | Reject
+Action = FetchRoot | FetchChunks | FetchPack | Notify | Activate | Reject
--- a/packages/daisypick_core/tests/configuration/test_distribution.py
+++ b/packages/daisypick_core/tests/configuration/test_distribution.py
@@ -109,7 +109,7 @@
     assert not holder.is_ready
     rest = [action for action in asked if action.source != actions.STORE]
     seen = run(holder, rest, sources)
-    installed = [a for a in seen if isinstance(a, actions.PutInForce)]
+    installed = [a for a in seen if isinstance(a, actions.Activate)]
     assert [a.configuration for a in installed] == [make_configuration(5)]
     assert holder.is_ready
 
@@ -152,7 +152,7 @@
     response = wire.RootResponse(root=source.root, chunk_by_hash={})
     assert holder.receive_root("p3", response, 0.0) == []
     seen = run(holder, holder.tick(3.0), {"p3": source}, now=3.0)
-    assert any(isinstance(a, actions.PutInForce) for a in seen)
+    assert any(isinstance(a, actions.Activate) for a in seen)
     assert holder.is_ready
 
 
@@ -185,7 +185,7 @@
     response = ahead.make_root_response(request.have)
     data = wire.encode_response(response)
     due = behind.receive_root("p2", wire.decode_response(data), 2.0)
-    assert isinstance(due[0], actions.PutInForce)
+    assert isinstance(due[0], actions.Activate)
     assert due[0].changed_by_section == {"organisations": {"org-0"}}
     assert behind.configuration == make_configuration(4)
     assert len(data) < 4_000
@@ -268,7 +268,7 @@
     assert holder.receive_root("p1", response, 1.0) == []
     offer = response._replace(chunk_by_hash=new.chunk_by_hash)
     due = holder.receive_root(actions.OPERATOR, offer, 1.0)
-    assert isinstance(due[0], actions.PutInForce)
+    assert isinstance(due[0], actions.Activate)
     assert holder.receive_chunks(actions.STORE, new.packs["news"], 2.0) == []
     assert holder.generation == 6
 
@@ -366,7 +366,7 @@
         before = holder.generation
         due = deliver(holder, event, name, SOURCES[generation], step / 2)
         for action in due:
-            if isinstance(action, actions.PutInForce):
+            if isinstance(action, actions.Activate):
                 assert action.configuration.generation > before
         assert holder.generation >= before
         if holder.generation:
--- a/packages/daisypick_lab/src/daisypick_lab/configuration_fleet.py
+++ b/packages/daisypick_lab/src/daisypick_lab/configuration_fleet.py
@@ -248,7 +248,7 @@
 
     def _carry_out(self, number: int, due: list[actions.Action]) -> None:
         for action in due:
-            if isinstance(action, actions.PutInForce):
+            if isinstance(action, actions.Activate):
                 self._note_in_force(number, action)
             elif isinstance(action, actions.Notify):
                 self._notify(number, int(action.peer), action.generation)
@@ -259,7 +259,7 @@
             elif isinstance(action, actions.FetchPack):
                 self._fetch_pack(number, action)
 
-    def _note_in_force(self, number: int, action: actions.PutInForce) -> None:
+    def _note_in_force(self, number: int, action: actions.Activate) -> None:
         generation = action.configuration.generation
         if generation <= self._generation_by_node.get(number, 0):
             self._lowered += 1
--- a/packages/daisypick_node/src/daisypick_node/configuration_service.py
+++ b/packages/daisypick_node/src/daisypick_node/configuration_service.py
@@ -139,7 +139,7 @@
     def _carry_out(self, due: Iterable[actions.Action]) -> None:
         """Carry out actions; those that wait get a greenlet each."""
         for action in due:
-            if isinstance(action, actions.PutInForce):
+            if isinstance(action, actions.Activate):
                 if "backend_servers" in action.changed_by_section:
                     self._take_members(self._clock())
             elif isinstance(action, actions.Reject):
