--- a/packages/daisypick_core/src/daisypick_core/routing/agents.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/agents.py
@@ -72,7 +72,7 @@
         self.is_stale = False
         self.has_stale_timer = False
 
-    def hear(self, load: load_message.Load, now: float) -> None:
+    def record_load(self, load: load_message.Load, now: float) -> None:
         """Record the load report of a response."""
         if self.load and self.load.incarnation != load.incarnation:
             self.suspended_until = 0.0
--- a/packages/daisypick_core/src/daisypick_core/routing/directory.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/directory.py
@@ -70,7 +70,7 @@
             service.update_ranking()
         return removed
 
-    def hear(
+    def record_load(
         self,
         view: agents_view.AgentView,
         load: load_message.Load,
@@ -78,7 +78,7 @@
     ) -> None:
         """Record the load report of an agent."""
         was_draining = view.is_draining
-        view.hear(load, now)
+        view.record_load(load, now)
         if load.is_draining and not was_draining:
             self._schedule_probe(view, now)
         if not view.has_stale_timer:
--- a/packages/daisypick_core/src/daisypick_core/routing/dispatcher.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/dispatcher.py
@@ -137,7 +137,7 @@
             service, request.organisation, now
         )
 
-    def hear(
+    def record_load(
         self, agent: str, load: load_message.Load, now: float
     ) -> list[actions.Action]:
         """Record the load report of an agent."""
@@ -147,7 +147,7 @@
             return due
         service = self._directory.service(view.service)
         was_usable = view in service.usable
-        self._directory.hear(view, load, now)
+        self._directory.record_load(view, load, now)
         if view in service.usable and not was_usable:
             return due + self._sender.send_service(service, now)
         return due + self._sender.send_free(service, now)
@@ -156,7 +156,7 @@
         self, attempt_id: str, agent: str, load: load_message.Load, now: float
     ) -> list[actions.Action]:
         """Process a hint that an attempt waits while another agent is idle."""
-        due = self.hear(agent, load, now)
+        due = self.record_load(agent, load, now)
         sent_attempt = self._sender.flights.find(attempt_id)
         view = self._directory.find(agent)
         if sent_attempt is None or view is None:
--- a/packages/daisypick_core/tests/routing/test_dispatcher.py
+++ b/packages/daisypick_core/tests/routing/test_dispatcher.py
@@ -34,7 +34,7 @@
     ]
     subject.set_agents(agents, 0.0)
     for agent in agents:
-        subject.hear(agent.address, make_load(), 0.0)
+        subject.record_load(agent.address, make_load(), 0.0)
     return subject
 
 
@@ -97,7 +97,7 @@
     # resent to it at once, although another agent is free as well.
     subject = make_dispatcher()
     (first,) = subject.submit(make_request("x"), 0.0)
-    subject.hear(first.agent, make_load(incarnation="a2"), 1.0)
+    subject.record_load(first.agent, make_load(incarnation="a2"), 1.0)
     refusal = refuse(codes.STALE_INCARNATION)
     (second,) = subject.returned(first.attempt.attempt_id, refusal, 1.0)
     assert second.agent == first.agent
@@ -114,7 +114,7 @@
     )
     assert subject.submit(make_request("y"), 1.1) == []
     assert subject.next_wake() < 3.0
-    subject.hear("127.0.0.1:0", make_load(limit=4), 4.0)
+    subject.record_load("127.0.0.1:0", make_load(limit=4), 4.0)
     assert subject.in_flight_count == 2
 
 
@@ -139,13 +139,13 @@
     # detect this by probes, without sending request after request there.
     subject = make_dispatcher(count=1)
     load = make_load(is_draining=True)
-    subject.hear("127.0.0.1:0", load, 0.0)
+    subject.record_load("127.0.0.1:0", load, 0.0)
     sent_at = []
     subject.submit(make_request("x", deadline=1000.0), 0.0)
     for step in range(1, 1000):
         for due in dispatches(subject.tick(step * 0.1)):
             sent_at.append(step * 0.1)
-            subject.hear("127.0.0.1:0", load, step * 0.1)
+            subject.record_load("127.0.0.1:0", load, step * 0.1)
             refusal = refuse(codes.DRAINING)
             subject.returned(due.attempt.attempt_id, refusal, step * 0.1)
     assert 3 <= len(sent_at) <= 6
@@ -157,14 +157,14 @@
     # at a busy agent while another one has a free slot, which would stay idle.
     subject = make_dispatcher(count=2)
     busy, free = "127.0.0.1:0", "127.0.0.1:1"
-    subject.hear(busy, make_load(running=1), 0.0)
-    subject.hear(free, make_load(running=1), 0.0)
+    subject.record_load(busy, make_load(running=1), 0.0)
+    subject.record_load(free, make_load(running=1), 0.0)
     subject.submit(make_request("x"), 0.0)
     (waiting,) = subject._sender.flights._attempt_by_request.values()
     other = free if waiting.agent == busy else busy
-    (due,) = subject.hear(other, make_load(), 1.0)
+    (due,) = subject.record_load(other, make_load(), 1.0)
     assert isinstance(due, actions.Withdraw)
-    assert subject.hear(other, make_load(), 1.0) == []
+    assert subject.record_load(other, make_load(), 1.0) == []
     attempt_id = due.attempt.attempt_id
     (moved,) = subject.returned(attempt_id, refuse(codes.WITHDRAWN), 1.1)
     assert moved.agent == other
@@ -248,7 +248,7 @@
     # a request that still waits is withdrawn, and only once.
     subject = make_dispatcher(count=2)
     for n in range(2):
-        subject.hear(f"127.0.0.1:{n}", make_load(running=1), 0.0)
+        subject.record_load(f"127.0.0.1:{n}", make_load(running=1), 0.0)
     (first,) = subject.submit(make_request("x"), 0.0)
     attempt_id = first.attempt.attempt_id
     (other,) = {"127.0.0.1:0", "127.0.0.1:1"} - {first.agent}
@@ -265,12 +265,12 @@
     # one may be running and must not be.
     subject = make_dispatcher(count=2)
     busy, free = "127.0.0.1:0", "127.0.0.1:1"
-    subject.hear(free, make_load(running=1), 0.0)
-    subject.hear(busy, make_load(limit=2), 0.0)
+    subject.record_load(free, make_load(running=1), 0.0)
+    subject.record_load(busy, make_load(limit=2), 0.0)
     subject.submit(make_request("x"), 0.0)
     subject.submit(make_request("y", is_repeatable=False), 0.0)
-    subject.hear(busy, make_load(running=1), 0.1)
-    due = subject.hear(free, make_load(limit=3), 0.2)
+    subject.record_load(busy, make_load(running=1), 0.1)
+    due = subject.record_load(free, make_load(limit=3), 0.2)
     assert {a.attempt.request_id for a in due} == {"x", "y"}
     assert subject.tick(0.9) == []
     cancel, dispatch = subject.tick(1.5)
@@ -289,14 +289,14 @@
     for n in range(60):
         now = float(n)
         for address in (slow, "127.0.0.1:1"):
-            subject.hear(address, make_load(limit=8), now)
+            subject.record_load(address, make_load(limit=8), now)
         (due,) = dispatches(subject.submit(make_request(f"r{n}"), now))
         subject.started(due.attempt.attempt_id, now)
         pause = 1.0 if due.agent == slow else 0.1
         subject.first_token(due.attempt.attempt_id, now + pause)
         subject.finished(due.attempt.attempt_id, now + pause)
     for address in (slow, "127.0.0.1:1"):
-        subject.hear(address, make_load(limit=4), 60.0)
+        subject.record_load(address, make_load(limit=4), 60.0)
     agents = [
         due.agent
         for n in range(8)
@@ -323,7 +323,7 @@
         ]
         subject.set_agents(agents, 0.0)
         for agent in agents:
-            subject.hear(agent.address, make_load(limit=2), 0.0)
+            subject.record_load(agent.address, make_load(limit=2), 0.0)
         sent = [
             due.agent
             for n in range(18)
@@ -352,9 +352,11 @@
     # all break at once. If they counted as consecutive failures of the new
     # incarnation, it would be suspended for many seconds while work waits.
     subject = make_dispatcher(count=1, window=9)
-    subject.hear("127.0.0.1:0", make_load(limit=9), 0.0)
+    subject.record_load("127.0.0.1:0", make_load(limit=9), 0.0)
     break_all = break_five_attempts(subject, 1.0)
-    subject.hear("127.0.0.1:0", make_load(incarnation="a2", limit=9), 1.0)
+    subject.record_load(
+        "127.0.0.1:0", make_load(incarnation="a2", limit=9), 1.0
+    )
     break_all()
     (dispatch,) = subject.submit(make_request("next"), 1.0)
     assert isinstance(dispatch, actions.Dispatch)
@@ -364,7 +366,7 @@
     # The connection to the only agent breaks with five attempts in flight. It
     # is suspended as after one failure, and is retried soon.
     subject = make_dispatcher(count=1, window=9)
-    subject.hear("127.0.0.1:0", make_load(limit=9), 0.0)
+    subject.record_load("127.0.0.1:0", make_load(limit=9), 0.0)
     break_all = break_five_attempts(subject, 1.0)
     break_all()
     assert subject.submit(make_request("next"), 1.0) == []
@@ -376,7 +378,7 @@
     # Callers retry keys whose outcome is unknown, and the agent reports this
     # each time. It must still get the work of others.
     subject = make_dispatcher(count=1, window=9)
-    subject.hear("127.0.0.1:0", make_load(limit=9), 0.0)
+    subject.record_load("127.0.0.1:0", make_load(limit=9), 0.0)
     break_all = break_five_attempts(subject, 1.0, is_answered=True)
     break_all()
     (dispatch,) = subject.submit(make_request("next"), 1.0)
@@ -390,7 +392,7 @@
     subject = make_dispatcher(count=4)
     for n in range(4):
         load = make_load(limit=8, running=0 if n == 0 else 8)
-        subject.hear(f"127.0.0.1:{n}", load, 0.0)
+        subject.record_load(f"127.0.0.1:{n}", load, 0.0)
     subject.tick(60.0)
     sent = [
         due.agent
@@ -398,6 +400,6 @@
         for due in subject.submit(make_request(f"r{n}"), 60.0)
     ]
     assert sorted(sent) == [f"127.0.0.1:{n}" for n in range(4)]
-    subject.hear("127.0.0.1:2", make_load(limit=8, running=2), 60.1)
+    subject.record_load("127.0.0.1:2", make_load(limit=8, running=2), 60.1)
     (due,) = subject.submit(make_request("x"), 60.2)
     assert due.agent == "127.0.0.1:2"
--- a/packages/daisypick_lab/src/daisypick_lab/dispatch_model.py
+++ b/packages/daisypick_lab/src/daisypick_lab/dispatch_model.py
@@ -321,14 +321,14 @@
         elif event == "broken":
             self._fleet.watch.cut += 1
             self._fleet.watch.note(held=1)
-        self.perform(self.dispatcher.hear(agent, load, now))
+        self.perform(self.dispatcher.record_load(agent, load, now))
         due = getattr(self.dispatcher, event)(attempt_id, *arguments, now)
         self.perform(due or [])
 
     def hear(self, agent: str, load: load_message.Load) -> None:
         """Take an agent's load."""
         now = self._fleet.clock.now
-        self.perform(self.dispatcher.hear(agent, load, now))
+        self.perform(self.dispatcher.record_load(agent, load, now))
 
     def configure(self, configuration: model.Configuration) -> None:
         """Take a configuration."""
--- a/packages/daisypick_lab/tests/test_gates_and_dispatchers.py
+++ b/packages/daisypick_lab/tests/test_gates_and_dispatchers.py
@@ -57,7 +57,7 @@
         )
 
         for name, gate in self.gate_by_name.items():
-            self.dispatcher.hear(name, gate.load(), self.now)
+            self.dispatcher.record_load(name, gate.load(), self.now)
 
     def make_gate(self, name):
         return core_gate.Gate(
@@ -148,7 +148,7 @@
         name, load, event, attempt, arguments = self.to_router[position]
         if not is_doubled:
             del self.to_router[position]
-        self.route(self.dispatcher.hear(name, load, self.now))
+        self.route(self.dispatcher.record_load(name, load, self.now))
         flights = self.dispatcher._sender.flights
         is_open = flights.find(attempt.attempt_id) is not None
         handle = getattr(self.dispatcher, event)
--- a/packages/daisypick_node/src/daisypick_node/router/driver.py
+++ b/packages/daisypick_node/src/daisypick_node/router/driver.py
@@ -135,7 +135,7 @@
     def hear(self, agent: str, load: load_message.Load) -> None:
         """Take an agent's load."""
         self._note_contact(agent, load.generation)
-        self.perform(self.dispatcher.hear(agent, load, self._clock()))
+        self.perform(self.dispatcher.record_load(agent, load, self._clock()))
 
     def hinted(
         self, attempt_id: str, agent: str, load: load_message.Load
