--- a/packages/daisypick_core/src/daisypick_core/routing/dispatcher.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/dispatcher.py
@@ -157,7 +157,7 @@
     ) -> list[actions.Action]:
         """Process a hint that an attempt waits while another agent is idle."""
         due = self.record_load(agent, load, now)
-        sent_attempt = self._sender.flights.find(attempt_id)
+        sent_attempt = self._sender.sent_attempts.find(attempt_id)
         view = self._directory.find(agent)
         if sent_attempt is None or view is None:
             return due
@@ -169,7 +169,7 @@
     def started(self, attempt_id: str, now: float) -> list[actions.Action]:
         """Record that an attempt has left the agent's queue and runs."""
         due = self._return_handler.run_timers(now)
-        sent_attempt = self._sender.flights.find(attempt_id)
+        sent_attempt = self._sender.sent_attempts.find(attempt_id)
         if sent_attempt is None or sent_attempt.started_at is not None:
             return due
         sent_attempt.started_at = now
@@ -182,7 +182,7 @@
 
     def first_token(self, attempt_id: str, now: float) -> None:
         """Record the first token of a response, for outlier detection."""
-        sent_attempt = self._sender.flights.find(attempt_id)
+        sent_attempt = self._sender.sent_attempts.find(attempt_id)
         if sent_attempt is None or sent_attempt.started_at is None:
             return
         if not sent_attempt.attempt.is_stream:
@@ -266,7 +266,7 @@
     def cancel(self, request_id: str, now: float) -> list[actions.Action]:
         """Drop a request whose caller has disconnected."""
         due = self._return_handler.run_timers(now)
-        sent_attempt = self._sender.flights.find_request(request_id)
+        sent_attempt = self._sender.sent_attempts.find_request(request_id)
         if sent_attempt is not None:
             self._sender.pop_attempt(sent_attempt.attempt.attempt_id, now)
             due.append(
@@ -311,7 +311,7 @@
     @property
     def in_flight_count(self) -> int:
         """Number of requests in flight at agents."""
-        return len(self._sender.flights)
+        return len(self._sender.sent_attempts)
 
 
 def _is_agent_failure(
--- a/packages/daisypick_core/src/daisypick_core/routing/sender.py
+++ b/packages/daisypick_core/src/daisypick_core/routing/sender.py
@@ -32,7 +32,7 @@
         agent_directory: directory.Directory,
         bounds: backlog.BacklogBounds,
     ) -> None:
-        self.flights = sent_attempts.SentAttemptTable()
+        self.sent_attempts = sent_attempts.SentAttemptTable()
         self._router = router
         self._rng = rng
         self._policy = policy
@@ -124,7 +124,7 @@
         sent_attempt = sent_attempts.SentAttempt(
             job=job, attempt=attempt, agent=view.address, sent_at=now
         )
-        self.flights.add(sent_attempt)
+        self.sent_attempts.add(sent_attempt)
         service.waiting[attempt.attempt_id] = sent_attempt
         service.waiting_by_organisation[attempt.organisation] += 1
         view.sent(attempt.organisation)
@@ -176,7 +176,7 @@
         self, attempt_id: str, now: float
     ) -> sent_attempts.SentAttempt | None:
         """Remove and return an attempt, ``None`` if it is unknown."""
-        sent_attempt = self.flights.pop_attempt(attempt_id)
+        sent_attempt = self.sent_attempts.pop_attempt(attempt_id)
         if sent_attempt is not None and sent_attempt.started_at is None:
             self.leave_agent_queue(sent_attempt, now)
         return sent_attempt
--- a/packages/daisypick_core/tests/routing/test_dispatcher.py
+++ b/packages/daisypick_core/tests/routing/test_dispatcher.py
@@ -160,7 +160,7 @@
     subject.record_load(busy, make_load(running=1), 0.0)
     subject.record_load(free, make_load(running=1), 0.0)
     subject.submit(make_request("x"), 0.0)
-    (waiting,) = subject._sender.flights._attempt_by_request.values()
+    (waiting,) = subject._sender.sent_attempts._attempt_by_request.values()
     other = free if waiting.agent == busy else busy
     (due,) = subject.record_load(other, make_load(), 1.0)
     assert isinstance(due, actions.Withdraw)
--- a/packages/daisypick_lab/tests/test_gates_and_dispatchers.py
+++ b/packages/daisypick_lab/tests/test_gates_and_dispatchers.py
@@ -149,8 +149,8 @@
         if not is_doubled:
             del self.to_router[position]
         self.route(self.dispatcher.record_load(name, load, self.now))
-        flights = self.dispatcher._sender.flights
-        is_open = flights.find(attempt.attempt_id) is not None
+        sent_attempts = self.dispatcher._sender.sent_attempts
+        is_open = sent_attempts.find(attempt.attempt_id) is not None
         handle = getattr(self.dispatcher, event)
         due = handle(attempt.attempt_id, *arguments, self.now)
         if event == "finished" and is_open:
@@ -249,7 +249,7 @@
             return set()
         return {
             f.attempt.request_id
-            for f in self.dispatcher._sender.flights.all()
+            for f in self.dispatcher._sender.sent_attempts.all()
             if f.attempt.incarnation != self.gate_by_name[f.agent].incarnation
         }
 
