--- a/packages/daisypick_node/src/daisypick_node/agent/__init__.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/__init__.py
@@ -1,11 +1,11 @@
-"""The agent: the gate of one backend server, as a process.
+"""The agent process: admission control for one backend server.
 
-* ``process``: the process, composed of the parts below.
-* ``driver``: carries out what the core gate decides.
-* ``answers``: answers being made and kept, by attempt.
-* ``runner``: one attempt's call to the backend server.
-* ``usage``: tokens counted in an answer as it streams.
-* ``attempt_routes``: what routers ask of the agent.
-* ``claim_service``: claims idempotency keys, its own and as a batcher.
-* ``same_answer``: gives a retry of a key the answer of the first call.
+* ``process``: the process, which composes the modules below.
+* ``driver``: performs the actions of the core gate.
+* ``answers``: responses in progress and retained, by attempt.
+* ``runner``: sends one attempt to the backend server.
+* ``usage``: counts the tokens of a response as it streams.
+* ``attempt_routes``: HTTP routes for attempts, called by routers.
+* ``claim_service``: claims idempotency keys and commits claims as a batcher.
+* ``same_answer``: replays the first response to a retry of a key.
 """
--- a/packages/daisypick_node/src/daisypick_node/agent/answers.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/answers.py
@@ -1,9 +1,10 @@
-"""Answers being made and kept, by attempt.
+"""Responses in progress and retained, by attempt.
 
-The runner appends an answer's bytes; any number of readers follow it from any
-offset. So a router whose connection broke resumes where it was, and a retry
-of a finished idempotency key gets the first answer. Finished answers are
-kept for a while and within a bound of memory, oldest dropped first.
+The runner appends the bytes of a response; any number of readers can stream
+it from any offset. A router whose connection broke resumes at its offset, and
+a retry of a completed idempotency key gets the first response. Finished
+responses are retained for a limited time and within a memory limit; the
+oldest are dropped first.
 """
 
 import collections
@@ -20,39 +21,39 @@
 
 
 class Usage(typing.NamedTuple):
-    """Tokens of a finished answer."""
+    """Token counts of a finished response."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
 
 
 class Head(typing.NamedTuple):
-    """Status and headers of an answer."""
+    """Status and headers of a response."""
 
     status: int
     headers: list[tuple[str, str]]
 
 
 class Hint(typing.NamedTuple):
-    """Word of an agent that could start a waiting attempt now."""
+    """An agent that could start a waiting attempt now."""
 
     agent: str
     load: load_message.Load
 
 
 class Answer:
-    """One attempt's answer, growing.
+    """The response to one attempt, appended to while it streams.
 
     Attributes:
         is_started: Whether the attempt has left the gate's queue.
-        head: Status and headers, once they are there.
-        data: The bytes so far.
-        usage: Tokens, once the answer is whole.
-        failure: Why there is no whole answer.
-        finished_at: Time of the end, ``None`` before.
-        reader_count: Readers that follow the answer now.
-        last_read_at: Time when the last reader left.
-        hints: Idle agents that the readers have not been told of.
+        head: Status and headers, ``None`` until they arrive.
+        data: Body bytes received so far.
+        usage: Token counts, ``None`` until the response is complete.
+        failure: Why the response is not complete.
+        finished_at: Time of completion or failure, ``None`` before.
+        reader_count: Number of readers that stream the response now.
+        last_read_at: Time at which the last reader disconnected.
+        hints: Idle agents not yet reported to the readers.
     """
 
     def __init__(self) -> None:
@@ -69,11 +70,11 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether nothing more will come."""
+        """Whether the response is complete or has failed."""
         return self.usage is not None or self.failure is not None
 
     def notify(self) -> None:
-        """Wake the readers."""
+        """Wake the waiting readers."""
         self._changed.set()
 
     def wait(self, timeout: float) -> bool:
@@ -83,12 +84,12 @@
         return has_changed
 
     def hint(self, hint: Hint) -> None:
-        """Have the readers told of an idle agent."""
+        """Queue a hint about an idle agent for the readers."""
         self.hints.append(hint)
         self.notify()
 
     def start(self) -> None:
-        """Note that the attempt runs."""
+        """Record that the attempt is running."""
         self.is_started = True
         self.notify()
 
@@ -98,25 +99,25 @@
         self.notify()
 
     def append(self, data: bytes) -> None:
-        """Add bytes."""
+        """Append body bytes."""
         self.data += data
         self.notify()
 
     def finish(self, usage: Usage, now: float) -> None:
-        """Close a whole answer."""
+        """Mark the response as complete."""
         self.usage = usage
         self.finished_at = now
         self.notify()
 
     def fail(self, failure: failure_value.Failure, now: float) -> None:
-        """Close an answer that is not whole."""
+        """Mark the response as failed."""
         self.failure = failure
         self.finished_at = now
         self.notify()
 
 
 def make_forgotten(now: float) -> Answer:
-    """Return the answer of an attempt that ran and is no longer kept."""
+    """Return a failed response for an attempt whose response was dropped."""
     answer = Answer()
     answer.fail(
         failure_value.Failure(
@@ -128,7 +129,7 @@
 
 
 class AnswerStore:
-    """Answers by attempt id."""
+    """Responses by attempt id, bounded in age and memory."""
 
     def __init__(self, *, keep_seconds: float, keep_bytes: int) -> None:
         self._keep_seconds = keep_seconds
@@ -139,11 +140,11 @@
         self._kept_bytes = 0
 
     def get(self, attempt_id: str) -> Answer | None:
-        """Return the answer of an attempt, ``None`` if it is not kept."""
+        """Return the response to an attempt, ``None`` if it is not stored."""
         return self._answer_by_attempt.get(attempt_id)
 
     def get_or_make(self, attempt_id: str) -> Answer:
-        """Return the answer of an attempt, a new one if need be."""
+        """Return the response to an attempt; create it if it is missing."""
         answer = self._answer_by_attempt.get(attempt_id)
         if answer is None:
             answer = self._answer_by_attempt[attempt_id] = Answer()
@@ -151,7 +152,7 @@
         return answer
 
     def note_finished(self, attempt_id: str, now: float) -> None:
-        """Count a finished answer and drop what is over the bounds."""
+        """Record a finished response and drop those beyond the limits."""
         answer = self._answer_by_attempt.get(attempt_id)
         if answer is None:
             return
@@ -161,7 +162,7 @@
         self.forget_old(now)
 
     def forget_old(self, now: float) -> None:
-        """Drop finished answers that are too old or too many."""
+        """Drop finished responses beyond the age or memory limit."""
         while self._finished_ids:
             attempt_id = self._finished_ids[0]
             answer = self._answer_by_attempt[attempt_id]
@@ -175,13 +176,13 @@
             del self._answer_by_attempt[attempt_id]
 
     def has_readers(self) -> bool:
-        """Tell whether any answer is being read."""
+        """Return whether any response is being read."""
         return any(
             answer.reader_count for answer in self._answer_by_attempt.values()
         )
 
     def abandoned_ids(self, now: float, grace: float) -> list[str]:
-        """Return attempts that nobody has read for ``grace`` seconds."""
+        """Return open attempts without a reader for ``grace`` seconds."""
         return [
             attempt_id
             for attempt_id in self._open_ids
@@ -197,12 +198,12 @@
 
 
 class Follower:
-    """One reader's way through an answer, from an offset to its end.
+    """Streams a response to one reader, from an offset to its end.
 
-    ``describe`` gives the agent's load, which rides on the first, the
-    ``STARTED`` and the last frame. A ``HEARTBEAT`` goes out after each
-    ``beat_seconds`` of silence, so that a router can tell a slow answer from
-    a dead connection.
+    ``describe`` returns the agent's load, which is sent with the first, the
+    ``STARTED`` and the last frame. A ``HEARTBEAT`` is sent after each
+    ``beat_seconds`` without another frame, so that a router can distinguish
+    a slow response from a dead connection.
     """
 
     def __init__(
@@ -221,7 +222,7 @@
         self._has_head = False
 
     def frames(self) -> Iterator[list[frame.Frame]]:
-        """Yield the frames that are ready together, to the last one."""
+        """Yield batches of the frames that are ready, up to the last one."""
         ready = [frame.Frame(kind=frame.QUEUED, detail=self._describe())]
         while True:
             ready += self._ready_frames()
@@ -236,7 +237,7 @@
                 ready = [frame.Frame(kind=frame.HEARTBEAT)]
 
     def _is_behind(self) -> bool:
-        """Tell whether more came while the last frames were sent."""
+        """Return whether data arrived while the last frames were sent."""
         answer = self._answer
         has_data = answer.head is not None and len(answer.data) > self._offset
         return has_data or answer.is_over
--- a/packages/daisypick_node/src/daisypick_node/agent/attempt_routes.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/attempt_routes.py
@@ -1,13 +1,13 @@
-"""What routers ask of the agent about attempts.
+"""HTTP routes of the agent for attempts, called by routers.
 
-* ``POST /internal/attempts``: run this; the answer streams as frames.
-* ``GET /internal/attempts/ID?from=N``: go on with that answer from byte N.
-* ``POST /internal/withdraw``: bar this unless it has started.
-* ``POST /internal/cancel``: nobody waits for this any more.
+* ``POST /internal/attempts``: run an attempt; the response streams as frames.
+* ``GET /internal/attempts/ID?from=N``: resume a response from byte N.
+* ``POST /internal/withdraw``: withdraw an attempt unless it has started.
+* ``POST /internal/cancel``: cancel an attempt that no caller waits for.
 
-Idle agents use one more:
+Idle agents call one more:
 
-* ``POST /internal/idle``: the sender has free slots and nothing waiting.
+* ``POST /internal/idle``: the sender has free slots and an empty queue.
 """
 
 from collections.abc import Callable
@@ -36,21 +36,21 @@
 
 
 class Naming(typing.TypedDict):
-    """Names an attempt and the epoch that it was sent in."""
+    """Identifies an attempt and the epoch in which it was sent."""
 
     attempt_id: str
     epoch: int
 
 
 class IdleWord(typing.TypedDict):
-    """An agent's word that it has free slots and nothing waiting."""
+    """Announces that an agent has free slots and an empty queue."""
 
     agent: str
     load: load_message.Load
 
 
 class Status(typing.TypedDict):
-    """What became of an attempt."""
+    """The status of an attempt."""
 
     state: str
     ran: bool
@@ -58,7 +58,7 @@
 
 
 class AttemptRoutes:
-    """Handlers of the agent's attempt routes."""
+    """Handles the agent's attempt routes."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         self._note_contact = note_contact
 
     def handlers(self) -> routes.Routes:
-        """Return the table of handlers."""
+        """Return the handlers by route."""
         return {
             routes.Route("POST", ATTEMPTS): self._offer,
             routes.Route("GET", ATTEMPTS + "/"): self._resume,
--- a/packages/daisypick_node/src/daisypick_node/agent/claim_service.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/claim_service.py
@@ -1,13 +1,14 @@
-"""Claims idempotency keys for the agent, and commits those of others.
+"""Claims idempotency keys for the agent and commits claims of other agents.
 
-The core decides (``daisypick_core.claims``); this carries it out: store calls
-over the platform's client, claims and questions between agents as JSON.
+``daisypick_core.claims`` makes the decisions; this module performs its
+actions: store calls through the platform client, and claims and status
+queries between agents as JSON.
 
-* ``POST /internal/claims``: commit this claim, as the batcher of its shard.
-* ``POST /internal/claims/ask``: what became of the attempt of this entry?
+* ``POST /internal/claims``: commit a claim, as the batcher of its shard.
+* ``POST /internal/claims/ask``: return the status of the attempt of an entry.
 
-Each claim waits in a greenlet of its own for its verdict. The core settles
-every claim within its patience, so none waits for ever.
+Each claim waits for its verdict in a separate greenlet. The core settles
+every claim within its timeout, so no greenlet waits indefinitely.
 """
 
 from collections.abc import Callable
@@ -43,13 +44,13 @@
 CLAIMS = "/internal/claims"
 ASK = "/internal/claims/ask"
 
-# Below the time-out of calls between processes, so that a claim is answered
-# "unavailable" rather than not at all.
+# In seconds. Below the timeout of calls between processes, so that the claimant
+# receives "unavailable" instead of a timed-out call.
 BATCHER_PATIENCE = 1.5
 
 
 class OutcomeMessage(typing.TypedDict):
-    """An outcome on the wire: its kind and what goes with it."""
+    """The wire format of an outcome: its kind and its content."""
 
     kind: str
     entry: typing.NotRequired[claim_entry.Entry]
@@ -57,14 +58,14 @@
 
 
 class StatusMessage(typing.TypedDict):
-    """What became of an attempt."""
+    """The status of an attempt."""
 
     state: str
     ran: bool
 
 
 class ClaimService:
-    """Claimant and batcher of one agent."""
+    """The claimant and the batcher of one agent."""
 
     def __init__(
         self,
@@ -98,14 +99,14 @@
     def connect(
         self, perform_gate: Callable[[list[gate_actions.Action]], None]
     ) -> None:
-        """Take who carries out the gate's actions."""
+        """Set the function that performs the gate's actions."""
         self._perform_gate = perform_gate
 
     def set_configuration(self, configuration: model.Configuration) -> None:
-        """Take the addresses of this agent and of all agents.
+        """Set the addresses of this agent and of all agents.
 
-        Batchers are picked by the configuration alone: it is the same
-        everywhere, and a batcher that does not answer is replaced at once.
+        Batchers are chosen from the configuration only, because it is the
+        same in every process. An unresponsive batcher is replaced at once.
         """
         servers = configuration.backend_servers_by_name
         own = servers.get(self._name)
@@ -115,48 +116,48 @@
         self._claimant.set_agents(agents, agent=self._address)
 
     def claim(self, attempt: attempt_message.Attempt) -> verdicts.Verdict:
-        """Claim an attempt's key; wait for the verdict."""
+        """Claim the key of an attempt and wait for the verdict."""
         verdict = gevent.event.AsyncResult()
         self._verdict_by_attempt[attempt.attempt_id] = verdict
         self._pursue(self._claimant.claim(attempt, self._clock()))
         return verdict.get()
 
     def release(self, attempt: attempt_message.Attempt) -> None:
-        """Give back the key of an attempt that is barred."""
+        """Release the key of a withdrawn or refused attempt."""
         self._pursue(self._claimant.release(attempt))
 
     def is_idle(self) -> bool:
-        """Tell whether no key is being given back.
+        """Return whether no key is being released.
 
-        An agent that drains gives back what waits. If it ended before the
-        keys are free again, the next attempt would find one held by an
-        agent that has restarted since, and its caller would be told that
-        the outcome is unknown although nothing ran.
+        A draining agent releases the keys of its queued attempts. If it
+        exited before the keys are free, the next attempt would find its key
+        held by an agent that has since restarted, and its caller would be
+        told that the outcome is unknown although nothing ran.
         """
         return self._releasing == 0
 
     def tick(self) -> None:
-        """Let time pass."""
+        """Process timeouts of the claimant and the batcher."""
         now = self._clock()
         self._pursue(self._claimant.tick(now))
         self._commit(self._batcher.tick(now))
 
     def handlers(self) -> routes.Routes:
-        """Return the table of handlers."""
+        """Return the handlers by route."""
         return {
             routes.Route("POST", CLAIMS): self._serve_claim,
             routes.Route("POST", ASK): self._serve_ask,
         }
 
     def describe(self) -> dict[str, typing.Any]:
-        """Return the claims' state for a dump."""
+        """Return the state of the claims for a state dump."""
         return {
             "pending": self._claimant.pending_count,
             "batched": self._batcher.waiting_count,
             "shards": self._batcher.shards,
         }
 
-    # The claimant's actions.
+    # Actions of the claimant.
 
     def _pursue(self, due: Iterable[actions.ClaimantAction]) -> None:
         for action in due:
@@ -219,7 +220,7 @@
         self._perform_gate(due)
         return status
 
-    # The batcher's actions.
+    # Actions of the batcher.
 
     def _submit_here(self, claim: outcomes.Claim) -> outcomes.Outcome:
         ticket = next(self._tickets)
@@ -243,7 +244,7 @@
         if result is not None:
             self._commit(self._batcher.done(call, result, self._clock()))
 
-    # What other agents ask.
+    # Routes called by other agents.
 
     def _serve_claim(self, call: routes.Call) -> routes.Reply:
         claim = _read(call, outcomes.Claim)
@@ -307,7 +308,7 @@
 def _from_message(
     message: OutcomeMessage,
 ) -> outcomes.Outcome | failure_value.Failure:
-    """Return the outcome of a message; a failure if there is none in it."""
+    """Return the outcome in a message, or a failure if it has none."""
     make = _outcome_by_kind.get(message["kind"])
     content = message.get("entry", message.get("reason"))
     if make is None or content is None:
@@ -329,7 +330,7 @@
 
 
 def _read(call: routes.Call, message_type: type[typing.Any]) -> typing.Any:
-    """Return the typed message in a call's body, or a failure."""
+    """Decode the body of a call; return a failure if it is invalid."""
     body = call.read_body()
     if failure_value.is_failure(body):
         return body
--- a/packages/daisypick_node/src/daisypick_node/agent/driver.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/driver.py
@@ -1,7 +1,7 @@
-"""Carries out what the core gate decides.
+"""Performs the actions of the core gate.
 
-Actions are handled by registered handlers, one a type; what comes of them
-goes back to the gate as events.
+Each type of action has one registered handler. Results are reported back to
+the gate as events.
 """
 
 from collections.abc import Callable
@@ -33,11 +33,11 @@
 
 
 class GateDriver:
-    """Drives one gate.
+    """Performs the actions of one gate and reports their results to it.
 
     Attributes:
         gate: The core's gate.
-        answers: Answers by attempt.
+        answers: Responses by attempt.
         server: ``host:port`` of the backend server.
     """
 
@@ -67,11 +67,11 @@
         self._greenlet_by_attempt: dict[str, gevent.Greenlet] = {}
 
     def detail(self) -> frame.Detail:
-        """Return the load that rides on answers."""
+        """Return the load to send with response frames."""
         return frame.Detail(load=self.gate.load())
 
     def offer(self, work: runner_module.Work) -> answers.Answer:
-        """Take in an attempt and return its answer, which may be growing."""
+        """Accept an attempt; return its response, which may be incomplete."""
         attempt_id = work.attempt.attempt_id
         now = self._clock()
         is_new = self.gate.attempts.state(attempt_id) is None
@@ -81,8 +81,8 @@
             self._note(work.attempt.request_id, "offered", attempt_id)
         due = self.gate.offer(work.attempt, now)
         if not due and self.answers.get(attempt_id) is None:
-            # A doubled offer of an attempt whose answer is no longer kept.
-            # A new answer would never end, and be looked at for good.
+            # A duplicate offer of an attempt whose response was dropped. A
+            # new response would never end and would be checked for ever.
             return answers.make_forgotten(now)
         self.perform(due)
         return self.answers.get_or_make(attempt_id)
@@ -90,39 +90,40 @@
     def withdraw(
         self, attempt_id: str, *, epoch: int
     ) -> attempts.AttemptStatus:
-        """Take an attempt back unless it has started."""
+        """Withdraw an attempt unless it has started."""
         status, due = self.gate.withdraw(attempt_id, self._clock(), epoch=epoch)
         self.perform(due)
         return status
 
     def cancel(self, attempt_id: str) -> None:
-        """Stop an attempt that nobody waits for."""
+        """Cancel an attempt that no caller waits for."""
         self.perform(self.gate.cancel(attempt_id, self._clock()))
 
     def drain(self, reason: str) -> None:
-        """Start nothing new."""
+        """Stop starting attempts."""
         self.perform(self.gate.drain(reason, self._clock()))
 
     def apply_drain_state(self, state: drain_state.DrainState) -> None:
-        """Take what a configuration and the VM's signals say."""
+        """Apply the drain state from the configuration and VM signals."""
         self.perform(self.gate.apply_drain_state(state, self._clock()))
 
     def tick(self) -> None:
-        """Let time pass at the gate; stop what nobody follows."""
+        """Process timeouts of the gate; cancel attempts without a reader."""
         now = self._clock()
         self.perform(self.gate.tick(now))
         self.answers.forget_old(now)
         for attempt_id in self.answers.abandoned_ids(now, ABANDON_SECONDS):
-            # The router is gone and has not come back to its stream: without
-            # this, its requests would hold slots to their end for nobody.
+            # The router disconnected and did not resume its stream. If they
+            # were not cancelled, its requests would occupy slots until their
+            # end although no caller receives the responses.
             self.cancel(attempt_id)
 
     def note_progress(self, attempt_id: str, tokens: int) -> None:
-        """Tell the gate of tokens that stream."""
+        """Report the number of streamed tokens to the gate."""
         self.gate.progress(attempt_id, tokens, self._clock())
 
     def perform(self, due: typing.Iterable[actions.Action]) -> None:
-        """Carry actions out in order."""
+        """Perform actions in order."""
         for action in due:
             _perform(action, self)
 
@@ -137,7 +138,10 @@
         self._greenlet_by_attempt[attempt_id] = greenlet
 
     def refuse(self, attempt_id: str, failure: failure_value.Failure) -> None:
-        """Close an attempt's answer with a failure."""
+        """Fail the response to an attempt.
+
+        If another attempt holds its key, copy that response instead.
+        """
         work = self._work_by_attempt.pop(attempt_id, None)
         answer = self.answers.get_or_make(attempt_id)
         if answer.is_over:
@@ -153,33 +157,33 @@
             self._note(request_id, f"refused: {failure.reason}", attempt_id)
 
     def hint(self, action: actions.Hint) -> None:
-        """Tell an attempt's reader of an idle agent."""
+        """Report an idle agent to the readers of an attempt."""
         answer = self.answers.get(action.attempt.attempt_id)
         if answer is not None:
             answer.hint(answers.Hint(agent=action.agent, load=action.load))
 
     def note_idle(self, peer: str, load: load_message.Load) -> None:
-        """Take a peer's word that it is idle."""
+        """Record that a peer is idle."""
         self.perform(self.gate.note_idle(peer, load, self._clock()))
 
     def release(self, attempt: attempt_message.Attempt) -> None:
-        """Give back the key of an attempt that is barred."""
+        """Release the key of a withdrawn or refused attempt."""
         self._claims.release(attempt)
 
     def claim(self, action: actions.Claim) -> None:
-        """Claim an attempt's key, then tell the gate."""
+        """Claim the key of an attempt and report the verdict to the gate."""
         gevent.spawn(self._claim, action)
 
     def stop(self, attempt_id: str) -> None:
-        """End a running attempt's call."""
+        """Abort the call of a running attempt."""
         greenlet = self._greenlet_by_attempt.get(attempt_id)
         if greenlet is None:
             return
         greenlet.kill(block=False)
         work = self._scheduled_by_attempt.pop(attempt_id, None)
         if work is not None:
-            # A greenlet that is killed before its first step never runs its
-            # clean-up: the slot would stay taken until the agent restarts.
+            # A greenlet killed before its first step never runs its cleanup:
+            # the slot would stay occupied until the agent restarts.
             del self._greenlet_by_attempt[attempt_id]
             self._cancelled(work, self.answers.get_or_make(attempt_id))
 
@@ -199,7 +203,7 @@
         answer: answers.Answer,
         otherwise: failure_value.Failure,
     ) -> None:
-        """Give a refused attempt the answer of the one that holds its key."""
+        """Copy the response of the attempt that holds the key."""
         self._same_answer.copy(holder, answer, otherwise)
         self.answers.note_finished(attempt_id, self._clock())
 
@@ -290,7 +294,7 @@
 
 
 def _has_never_arrived(answer: answers.Answer) -> bool:
-    """Tell whether the attempt surely did not reach the backend server."""
+    """Return whether the attempt certainly did not reach the server."""
     failure = answer.failure
     return failure is not None and failure.code == codes.ENGINE_UNREACHABLE
 
--- a/packages/daisypick_node/src/daisypick_node/agent/idle_word.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/idle_word.py
@@ -1,7 +1,7 @@
-"""Tells peers that this agent is idle.
+"""Announces to peers that this agent is idle.
 
 See Also:
-    ``daisypick_core.gate.idle_peers``: why, and how often.
+    ``daisypick_core.gate.idle_peers``: the reasons and the interval.
 """
 
 import random
@@ -16,7 +16,7 @@
 
 
 class IdleWord:
-    """One agent's word to the agents of the same service."""
+    """Announces one agent to the other agents of its service."""
 
     def __init__(
         self,
@@ -35,11 +35,11 @@
         self._others: list[str] = []
 
     def set_configuration(self, configuration: model.Configuration) -> None:
-        """Take the agents of the same service."""
+        """Set the other agents of the same service."""
         servers = configuration.backend_servers_by_name
         own = servers.get(self._name)
-        # Routers know the agent by its configured address, which need not be
-        # the one that it listens on.
+        # Routers identify the agent by its configured address, which can
+        # differ from the address on which it listens.
         self._address = own.agent if own is not None else ""
         self._others = [
             server.agent
@@ -51,7 +51,7 @@
         ]
 
     def tick(self, now: float) -> None:
-        """Tell a few peers if it is time to."""
+        """Send an announcement to a few peers if one is due."""
         load = self._gate.load()
         if not self._others or not self._seeker.is_due(
             free=load.free, waiting=load.waiting, now=now
--- a/packages/daisypick_node/src/daisypick_node/agent/process.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/process.py
@@ -1,4 +1,4 @@
-"""The agent as a process: ``daisypickd agent``."""
+"""The agent process, started by ``daisypickd agent``."""
 
 from collections.abc import Callable
 import random
@@ -27,7 +27,7 @@
 
 
 class AgentProcess(process.Process):
-    """The gate of one backend server."""
+    """The process that controls admission to one backend server."""
 
     kind = "agent"
     settings: settings_module.AgentSettings
@@ -107,7 +107,7 @@
         self.driver.note_progress(attempt_id, tokens)
 
     def handlers(self) -> routes.Routes:
-        """Return the agent's table of handlers."""
+        """Return the handlers of the agent by route."""
         attempts = attempt_routes.AttemptRoutes(
             driver=self.driver,
             clock=self.clock,
@@ -120,7 +120,7 @@
         }
 
     def on_start(self) -> None:
-        """Watch the load and the service of organisations."""
+        """Register metrics for the load and the organisations' tokens."""
         self.metrics.watch_organisations(
             "service_tokens",
             "Tokens served by organisation.",
@@ -140,14 +140,14 @@
         )
 
     def on_tick(self) -> None:
-        """Let time pass at the gate."""
+        """Process timeouts and send the reports that are due."""
         self.driver.tick()
         self.claims.tick()
         self.idle_word.tick(self.clock())
         self.tally.tick()
 
     def on_configuration(self) -> None:
-        """Take shares, slots and the state of the data centre."""
+        """Apply shares, slots and the state of the data centre."""
         self.order.set_shares(
             {
                 name: organisation.share
@@ -178,15 +178,15 @@
         self.driver.apply_drain_state(state)
 
     def on_leaving(self) -> None:
-        """Give back what waits; what runs ends."""
+        """Refuse queued attempts; running ones complete."""
         self._apply_drain_state()
 
     def on_drain(self) -> None:
-        """Give back what waits."""
+        """Refuse queued attempts."""
         self.driver.drain(admission.SHUTDOWN)
 
     def is_idle(self) -> bool:
-        """Tell whether nothing runs, is being read or is given back."""
+        """Return whether no attempt, reader or key release is pending."""
         return (
             self.gate.running_count == 0
             and not self.driver.answers.has_readers()
@@ -194,13 +194,13 @@
         )
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop without draining."""
         self.tally.stop()
         super().stop()
         self._pool.close()
 
     def describe(self) -> dict[str, typing.Any]:
-        """Return the gate's state for a dump."""
+        """Return the state of the agent for a state dump."""
         return {
             "name": self.settings.name,
             "incarnation": self.gate.incarnation,
--- a/packages/daisypick_node/src/daisypick_node/agent/runner.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/runner.py
@@ -1,8 +1,8 @@
-"""One attempt's call to the backend server.
+"""Sends one attempt to the backend server.
 
-The call is sent once. Its answer goes into an ``answers.Answer`` as it comes;
-tokens that arrive within ``gather_seconds`` of each other are taken up
-together, which costs one step instead of one a token.
+The request is sent once. Its response is appended to an ``answers.Answer`` as
+it arrives. Tokens that arrive within ``gather_seconds`` are read together,
+which needs one loop step instead of one for each token.
 """
 
 from collections.abc import Callable
@@ -27,7 +27,7 @@
         "upgrade",
         "trailer",
         "te",
-        # The router sets these two for the whole answer.
+        # The router sets these two on the response to the caller.
         "date",
         "x-request-id",
     }
@@ -37,11 +37,11 @@
 
 
 class Outcome(typing.NamedTuple):
-    """What came of an attempt.
+    """The outcome of an attempt.
 
     Attributes:
-        cost: Tokens charged for it.
-        is_healthy: Whether the backend server did its work.
+        cost: Tokens charged for the attempt.
+        is_healthy: Whether the backend server responded without an error.
         first_byte_seconds: Time to the first byte of the body.
     """
 
@@ -51,7 +51,7 @@
 
 
 class Work(typing.NamedTuple):
-    """An attempt and what the backend server shall see of it."""
+    """An attempt and its HTTP request to the backend server."""
 
     attempt: attempt_message.Attempt
     method: str
@@ -61,7 +61,7 @@
 
 
 class Runner:
-    """Runs attempts at one backend server."""
+    """Runs attempts on a backend server."""
 
     def __init__(
         self,
@@ -79,7 +79,7 @@
         self._note_boot = note_boot
 
     def run(self, work: Work, server: str, answer: answers.Answer) -> Outcome:
-        """Call the backend server and fill the answer."""
+        """Call the backend server and fill ``answer`` with its response."""
         started_at = self._clock()
         try:
             response = self._send(work, server)
@@ -87,8 +87,8 @@
             self._pool.forget(server)
             return self._fail(answer, _call_failure(error))
         except ValueError as error:
-            # The library refuses to build the call: nothing was sent, and
-            # another server's agent would refuse it as well.
+            # The HTTP client could not build the request: nothing was sent,
+            # and the agent of any other server would fail in the same way.
             return self._fail(answer, _bad_call(error))
         first_byte_at = None
         try:
@@ -170,11 +170,11 @@
 
 
 def _is_refusal(attempt: attempt_message.Attempt, status: int) -> bool:
-    """Tell whether an answer is better sought at another backend server.
+    """Return whether to retry the request on another backend server.
 
-    A server that falls over in its cold start answers 5xx; a repeatable
-    request is run elsewhere. One that may not be repeated keeps this answer,
-    since it may have run.
+    A server that crashes during its cold start responds with 5xx; a repeatable
+    request is then run on another server. A request that is not repeatable
+    keeps this response, because it may have run.
     """
     return attempt.is_repeatable and status >= _SERVER_FAULT
 
@@ -187,10 +187,10 @@
 
 
 def _call_failure(error: Exception) -> failure_value.Failure:
-    """Return what a failed send means.
+    """Return the failure for an error of sending.
 
-    Only a connection that was never made proves that nothing arrived: any
-    other error may come after the backend server has run the call.
+    Only a connection that was never established proves that nothing arrived.
+    Any other error may occur after the backend server has run the request.
     """
     code = codes.OUTCOME_UNKNOWN
     if isinstance(error, client.NotConnectedError):
--- a/packages/daisypick_node/src/daisypick_node/agent/same_answer.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/same_answer.py
@@ -1,8 +1,9 @@
-"""Gives a retry of an idempotency key the answer of the first call.
+"""Replays the first response to a retry of an idempotency key.
 
-The attempt of the retry does not run. Its answer is copied, as it grows, from
-the attempt that holds the key: from this agent's own memory or from the other
-agent, resumed from the byte reached where a connection breaks.
+The attempt of the retry does not run. Its response is copied, while it
+streams, from the attempt that holds the key: from the memory of this agent or
+from the other agent. After a broken connection the copy resumes from the last
+byte received.
 """
 
 from collections.abc import Callable
@@ -25,7 +26,7 @@
 
 
 class SameAnswer:
-    """Copies answers of holders."""
+    """Copies responses of the attempts that hold idempotency keys."""
 
     def __init__(
         self,
@@ -46,7 +47,10 @@
         answer: answers.Answer,
         otherwise: failure_value.Failure,
     ) -> None:
-        """Fill ``answer`` from the holder's; ``otherwise`` if there is none."""
+        """Copy the holder's response to ``answer``.
+
+        If the holder did not run, fail ``answer`` with ``otherwise``.
+        """
         failure = self._copy(holder, answer, otherwise)
         if failure is not None:
             answer.fail(failure, self._clock())
@@ -94,7 +98,7 @@
         answer: answers.Answer,
         otherwise: failure_value.Failure,
     ) -> failure_value.Failure | None:
-        """Take frames to the last one; return why there is no answer.
+        """Copy frames up to the last one; return a failure if there is one.
 
         Raises:
             EOFError: The frames end before the last one.
@@ -145,10 +149,10 @@
 def _refusal(
     part: frame.Frame, otherwise: failure_value.Failure
 ) -> failure_value.Failure:
-    """Return what a holder's failure means for the retry.
+    """Return the failure for the retry after a failure of the holder.
 
-    A holder that did not run after all has given its key back: the caller
-    may come again. Anything else is as unknown here as it is there.
+    A holder that did not run has released its key, so the caller may retry.
+    Any other failure applies to the retry as well.
     """
     assert part.detail is not None
     code = codes.by_number.get(part.detail["code"], codes.OUTCOME_UNKNOWN)
--- a/packages/daisypick_node/src/daisypick_node/agent/tally_service.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/tally_service.py
@@ -1,11 +1,11 @@
-"""Carries out the exchange of service between agents over HTTP.
+"""Exchanges the organisations' usage between agents over HTTP.
 
 Routes, for processes of the fleet:
 
-* ``POST /internal/tally/agent``: an agent's report to its collector;
-* ``POST /internal/tally/relay``: a collector's report to a head.
+* ``POST /internal/tally/agent``: report of an agent to its collector;
+* ``POST /internal/tally/relay``: report of a collector to a head.
 
-Who collects follows from what each agent sees as live; see
+Each agent derives the collectors from the agents that it considers alive; see
 ``daisypick_core.fairness.tally_node`` for the decisions.
 """
 
@@ -36,7 +36,7 @@
 
 
 class TallyService:
-    """The tally node of one agent, and its messages."""
+    """Sends and receives the messages of the tally node of one agent."""
 
     def __init__(
         self,
@@ -65,14 +65,14 @@
         self.node: tally_node.TallyNode | None = None
 
     def handlers(self) -> routes.Routes:
-        """Return the table of handlers."""
+        """Return the handlers by route."""
         return {
             routes.Route("POST", AGENT): self._serve_agent,
             routes.Route("POST", RELAY): self._serve_relay,
         }
 
     def set_configuration(self, configuration: model.Configuration) -> None:
-        """Take shares, and the server whose service is exchanged."""
+        """Apply the shares and the backend server of this agent."""
         self._configuration = configuration
         server = configuration.backend_servers_by_name.get(self._name)
         before = self._server
@@ -88,7 +88,7 @@
         self._next_agents = 0.0
 
     def tick(self) -> None:
-        """Send the reports that are due; each gets a greenlet."""
+        """Send the reports that are due, each in a greenlet."""
         if self.node is None:
             return
         now = self._clock()
@@ -99,11 +99,11 @@
             self._greenlets.spawn(self._send, self.node, send)
 
     def stop(self) -> None:
-        """Send nothing more."""
+        """Stop sending reports."""
         self._greenlets.kill()
 
     def describe(self) -> dict[str, typing.Any]:
-        """Return the state for a dump."""
+        """Return the state for a state dump."""
         if self.node is None:
             return {"collector": "", "heads": [], "agents": 0}
         return {
@@ -119,7 +119,10 @@
     def _make_node(
         self, server: model.BackendServer, shares: dict[str, float]
     ) -> tally_node.TallyNode:
-        _log.say("Exchanges service.", service=server.service)
+        _log.say(
+            "Exchanges usage with the agents of the service.",
+            service=server.service,
+        )
         return tally_node.TallyNode(
             address=server.agent,
             data_centre=server.data_centre,
@@ -128,12 +131,12 @@
             order=self._order,
             share_by_organisation=shares,
             period=self._period,
-            # Agents that start together must not report in one moment.
+            # Random, so that agents started together do not report at once.
             first_report_in=self._period * self._rng.random(),
         )
 
     def _agents(self) -> list[tally_node.TallyAgent]:
-        """Return the agents of the service that are believed to be alive."""
+        """Return the agents of the service that are considered alive."""
         assert self._server is not None
         live = {member.address for member in self._members()}
         live.add(self._server.agent)
--- a/packages/daisypick_node/src/daisypick_node/agent/usage.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/usage.py
@@ -1,8 +1,9 @@
-"""Tokens counted in an answer as it streams.
+"""Counts the tokens of a response as it streams.
 
-While a model's answer streams, its events are counted, an event a token.
-The true counts come at the end in ``usage``: in the last event of a stream or
-in the body of a whole answer. Plain services cost one unit a call.
+While the response of a model streams, each event counts as one token. The
+exact counts are in ``usage`` at the end: in the last event of a stream or in
+the body of a response that is not streamed. A call to a plain service costs
+one unit.
 """
 
 import typing
@@ -29,7 +30,7 @@
 
 
 class UsageMeter:
-    """Counts the tokens of one answer."""
+    """Counts the tokens of one response."""
 
     def __init__(self, *, is_stream: bool) -> None:
         self._is_stream = is_stream
@@ -38,18 +39,18 @@
 
     @property
     def streamed_tokens(self) -> int:
-        """Tokens seen so far in a stream."""
+        """Number of tokens streamed so far."""
         return self._event_count
 
     def feed(self, data: bytes) -> None:
-        """Count the events in the next bytes."""
+        """Count the events in the next part of the body."""
         if not self._is_stream:
             return
         self._event_count += data.count(_EVENT_MARK)
         self._tail = (self._tail + data)[-_TAIL_BYTES:]
 
     def total(self, body: bytes) -> answers.Usage:
-        """Return the tokens of the whole answer."""
+        """Return the token counts of the complete response."""
         document = self._last_event() if self._is_stream else bytes(body)
         try:
             usage = _decoder.decode(document).usage
@@ -70,5 +71,5 @@
         return b""
 
     def has_end_mark(self) -> bool:
-        """Tell whether a stream has closed with its end mark."""
+        """Return whether a stream ended with its end marker."""
         return not self._is_stream or _DONE in self._tail
