--- a/packages/daisypick_node/src/daisypick_node/configuration_routes.py
+++ b/packages/daisypick_node/src/daisypick_node/configuration_routes.py
@@ -1,15 +1,16 @@
-"""What other processes and operators can ask about the configuration.
+"""HTTP routes for the distribution of the configuration.
 
 Routes, for processes of the fleet and for operators:
 
 * ``GET /internal/configuration/root?have=TOP``: the root in force, with the
-  chunks that a holder of ``TOP`` lacks;
-* ``GET /internal/configuration/chunk/HASH[,HASH...]``: chunks that are held;
-* ``POST /internal/configuration/notice``: generations are exchanged, and
-  some members told of;
+  chunks that a process with the tree ``TOP`` lacks;
+* ``GET /internal/configuration/chunk/HASH[,HASH...]``: the chunks with these
+  hashes that this process has;
+* ``POST /internal/configuration/notice``: exchanges generations and a sample
+  of the known members;
 * ``POST /internal/configuration/offer``: an accepted root with its chunks,
-  from the operators' command line. It makes a change known also if the store
-  goes down right after it was accepted.
+  from the operators' command line. It distributes a change even if the store
+  becomes unavailable right after it accepted the change.
 """
 
 from collections.abc import Callable
@@ -32,12 +33,12 @@
 
 
 class Notice(typing.TypedDict):
-    """What two processes tell each other.
+    """The message that two processes exchange.
 
     Attributes:
-        member: The process that speaks.
-        generation: Its generation in force.
-        members: Some members that it has heard, with ages in seconds.
+        member: The sender.
+        generation: The generation in force at the sender.
+        members: Some members known to the sender, with ages in seconds.
     """
 
     member: member_directory.Member
@@ -46,13 +47,13 @@
 
 
 class ConfigurationRoutes:
-    """The handlers; decisions are the holder's.
+    """Handles the routes; the holder makes the decisions.
 
     Args:
         holder: The configuration of this process.
-        hear: Takes what another process tells.
-        make_notice: Makes what this process tells.
-        take_offer: Takes an operator's offer.
+        hear: Receives the notice of another process.
+        make_notice: Returns the notice of this process.
+        take_offer: Receives an operator's offer.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
         self._take_offer = take_offer
 
     def handlers(self) -> routes.Routes:
-        """Return the table of handlers."""
+        """Return the handlers by route."""
         return {
             routes.Route("GET", ROOT): self._serve_root,
             routes.Route("GET", CHUNK): self._serve_chunks,
--- a/packages/daisypick_node/src/daisypick_node/configuration_service.py
+++ b/packages/daisypick_node/src/daisypick_node/configuration_service.py
@@ -1,11 +1,11 @@
-"""Carries out the spread of configurations over HTTP.
+"""Distributes configurations between processes over HTTP.
 
-A few processes of each data centre wait for changes at the store; which ones
-follows from what each process sees as live.
+A few processes of each data centre watch the store for changes. Each process
+derives these watchers from the members that it considers alive.
 
 See Also:
     ``daisypick_core.configuration.distribution``: the decisions.
-    ``daisypick_node.configuration_routes``: what other processes can ask.
+    ``daisypick_node.configuration_routes``: the routes for other processes.
 """
 
 from collections.abc import Callable
@@ -45,11 +45,11 @@
 
 
 class ConfigurationService:
-    """The holder of one process, and its messages.
+    """Performs the actions of one process's configuration holder.
 
     Attributes:
-        holder: The decisions.
-        directory: The members that this process believes in.
+        holder: The configuration, and the decisions about its distribution.
+        directory: The members known to this process.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
         self._version = ""
 
     def start(self, address: str) -> None:
-        """Ask for the configuration and follow it from now on.
+        """Fetch the configuration and start to follow its changes.
 
         Args:
             address: ``host:port`` of this process, known once it listens.
@@ -99,17 +99,17 @@
         self._greenlets.spawn(self._watch_forever)
 
     def stop(self) -> None:
-        """Follow no further."""
+        """Stop following changes."""
         self._greenlets.kill()
 
     def note_contact(self, peer: str, generation: int) -> None:
-        """Learn from a request or an answer that a peer has a generation."""
+        """Record a peer's generation, received in a request or response."""
         now = self._clock()
         self.directory.record_contact(peer, now)
         self._carry_out(self.holder.record_contact(peer, generation, now))
 
     def handlers(self) -> routes.Routes:
-        """Return the table of handlers."""
+        """Return the handlers by route."""
         return configuration_routes.ConfigurationRoutes(
             holder=self.holder,
             hear=self._hear,
@@ -118,7 +118,7 @@
         ).handlers()
 
     def describe(self) -> dict[str, typing.Any]:
-        """Return the state for a dump."""
+        """Return the state for a state dump."""
         now = self._clock()
         members = self.directory.members(now)
         return {
@@ -137,21 +137,21 @@
         return routers[:ROUTERS_SHOWN]
 
     def _carry_out(self, due: Iterable[actions.Action]) -> None:
-        """Carry out actions; those that wait get a greenlet each."""
+        """Perform actions; each one that blocks runs in its own greenlet."""
         for action in due:
             if isinstance(action, actions.Activate):
                 if "backend_servers" in action.changed_by_section:
                     self._take_members(self._clock())
             elif isinstance(action, actions.Reject):
                 _log.say(
-                    "Rejects a configuration.",
+                    "Rejected a configuration.",
                     source=action.source,
                     reason=action.failure.reason,
                 )
             else:
                 self._greenlets.spawn(self._send, action)
-        # While the start is not over, a higher generation may be known:
-        # to serve by a lower one would undo a change for a moment.
+        # Until the start is complete, a higher generation may be known.
+        # Serving with a lower one would temporarily revert a change.
         if self.holder.is_ready and self.holder.generation > self._installed:
             self._installed = self.holder.generation
             self._install(self.holder.configuration)
@@ -225,7 +225,7 @@
     def _call(
         self, address: str, method: str, path: str, message: object = None
     ) -> bytes | failure_value.Failure:
-        """Call a peer whose address came with a message of another one."""
+        """Call a peer; its address comes from a message and may be invalid."""
         try:
             return self._peers.call(address, method, path, message)
         except ValueError as error:
@@ -276,7 +276,7 @@
             self._carry_out(self.holder.tick(now))
 
     def _take_members(self, now: float) -> None:
-        """Bring the directory and the holder's peers up to date."""
+        """Update the directory and the holder's peers."""
         self._next_members = now + MEMBERS_SECONDS
         self.directory.forget_old(now)
         self._take_listed()
@@ -292,7 +292,7 @@
         self.holder.set_peers(sorted(addresses), near)
 
     def _take_listed(self) -> None:
-        """Take the agents that the configuration names, if others."""
+        """Update the listed agents if the configuration has changed."""
         servers = self.holder.configuration.backend_servers_by_name
         if servers is self._listed:
             return
@@ -308,7 +308,7 @@
         )
 
     def is_watcher(self) -> bool:
-        """Tell whether this process is one of those that watch the store."""
+        """Return whether this process is chosen to watch the store."""
         now = self._clock()
         live = self.directory.live(self._own.role, self._own.data_centre, now)
         key = f"configuration/{self._own.role}/{self._own.data_centre}"
--- a/packages/daisypick_node/src/daisypick_node/configuration_store.py
+++ b/packages/daisypick_node/src/daisypick_node/configuration_store.py
@@ -1,13 +1,14 @@
-"""The configuration as the platform's store holds it.
+"""Reads the configuration from the platform's store.
 
-One object, the root, is written by conditional update and decides. The
-chunks lie in packs: each change writes one pack with its new chunks, and the
-root lists the packs that together hold its tree. A process that starts with
-nothing reads some packs in place of thousands of single chunks.
+One object, the root, is written by conditional update and determines the
+configuration in force. Chunks are stored in packs: each change writes one pack
+with its new chunks, and the root lists the packs that together hold its tree.
+A process that starts without chunks reads a few packs instead of thousands of
+single chunks.
 
 See Also:
     ``daisypick_cli.publication``: how a change is written.
-    ``daisypick_core.configuration.distribution``: how it goes on from here.
+    ``daisypick_core.configuration.distribution``: how it is distributed.
 """
 
 import typing
@@ -34,13 +35,13 @@
 
 
 class StoredConfiguration(typing.NamedTuple):
-    """All of a stored configuration.
+    """A stored configuration with its root and chunks.
 
     Attributes:
-        root: ``None`` while the store has none.
-        version: Version of the root object, ``None`` while there is none.
-        chunk_by_hash: At least the chunks of its tree.
-        configuration: The configuration.
+        root: The root, ``None`` if the store has none.
+        version: Version of the root object, ``None`` if there is none.
+        chunk_by_hash: The chunks of all packs; includes those of its tree.
+        configuration: The decoded configuration.
     """
 
     root: root_object.Root | None
@@ -55,7 +56,7 @@
 
 
 def pack_name(generation: int, change_id: str, part: int) -> str:
-    """Return the name of a pack; names sort by generation.
+    """Return the name of a pack; the names sort by generation.
 
     Examples:
         >>> pack_name(7, "ab12", 0)
@@ -77,7 +78,7 @@
 def read_root(
     client: interface.PlatformClient,
 ) -> StoredRoot | failure_value.Failure:
-    """Return the root, ``NOT_FOUND`` while there is none."""
+    """Return the root, or a ``NOT_FOUND`` failure if there is none."""
     stored = client.get(KIND, ROOT)
     if failure_value.is_failure(stored):
         return stored
@@ -87,7 +88,7 @@
 def decode_root(
     stored: interface.StoredObject,
 ) -> StoredRoot | failure_value.Failure:
-    """Return the root in a stored object."""
+    """Decode the root in a stored object."""
     root = root_object.decode_root(stored.value)
     if failure_value.is_failure(root):
         return root
@@ -97,7 +98,7 @@
 def read_pack(
     client: interface.PlatformClient, name: str
 ) -> dict[str, bytes] | failure_value.Failure:
-    """Return the sound chunks of a pack."""
+    """Return the valid chunks of a pack."""
     stored = client.get(KIND, name)
     if failure_value.is_failure(stored):
         return stored
@@ -109,8 +110,8 @@
 ) -> StoredConfiguration | failure_value.Failure:
     """Return the stored configuration.
 
-    A pack can be cleared away between the reads of the root and of the
-    pack; then another root is in force, and the reading starts again.
+    A pack can be deleted between the reads of the root and of the pack.
+    Another root is then in force, and the read is retried.
     """
     outcome: StoredConfiguration | failure_value.Failure = NOTHING
     for _ in range(_MAX_READS):
--- a/packages/daisypick_node/src/daisypick_node/records.py
+++ b/packages/daisypick_node/src/daisypick_node/records.py
@@ -1,7 +1,7 @@
-"""What a process did with its latest requests, bounded in memory.
+"""Records events of recent requests, within a memory limit.
 
-``daisypick explain REQUEST_ID`` reads it. It holds ids, codes and times,
-never a caller's text.
+``daisypick explain REQUEST_ID`` reads them. An event has ids, codes and times,
+but never the content of a request.
 """
 
 import collections
@@ -12,11 +12,11 @@
 
 
 class Event(typing.NamedTuple):
-    """One thing that a process did with a request.
+    """One event of a request in a process.
 
     Attributes:
         at: Seconds on the process's monotonic clock.
-        event: Short phrase.
+        event: Short description.
         detail: Ids, addresses and codes.
     """
 
@@ -26,7 +26,7 @@
 
 
 class RequestRecord:
-    """Events by request id, the oldest requests dropped first.
+    """Events by request id; the oldest requests are dropped first.
 
     Examples:
         >>> record = RequestRecord(limit=1)
@@ -45,7 +45,7 @@
     def note(
         self, request_id: str, now: float, event: str, **detail: typing.Any
     ) -> None:
-        """Add an event of a request."""
+        """Record an event of a request."""
         events = self._events_by_request.get(request_id)
         if events is None:
             events = self._events_by_request[request_id] = []
@@ -55,5 +55,5 @@
             events.append(Event(at=now, event=event, detail=detail))
 
     def explain(self, request_id: str) -> list[Event]:
-        """Return the events of a request in order."""
+        """Return the events of a request in chronological order."""
         return list(self._events_by_request.get(request_id, ()))
--- a/packages/daisypick_node/src/daisypick_node/vm_watch.py
+++ b/packages/daisypick_node/src/daisypick_node/vm_watch.py
@@ -1,12 +1,12 @@
-"""Telling processes that the platform is about to take their VMs.
+"""Notifies processes that the platform is about to remove their VMs.
 
-The platform's list of VMs lags, and 4,000 processes cannot all ask for it.
-The few that watch the store in a data centre ask every few seconds and tell
-the processes on leaving VMs. A process that is told drains and never takes
-it back: the list may show as live again what has long been told to leave.
+The platform's list of VMs lags, and 4,000 processes cannot all poll it. The
+few watchers of the store in a data centre poll it every few seconds and notify
+the processes on leaving VMs. A notified process drains and never reverts to
+serving, because the lagging list may again show a leaving VM as live.
 
 See Also:
-    ``daisypick_core.gate.drain_state``: how an agent weighs its signals.
+    ``daisypick_core.gate.drain_state``: how an agent combines its signals.
 """
 
 from collections.abc import Callable
@@ -29,7 +29,7 @@
 
 
 class VmWatch:
-    """Watches the list of VMs for one process, and takes the news."""
+    """Polls the list of VMs for one process and receives notifications."""
 
     def __init__(
         self,
@@ -54,26 +54,27 @@
         self.is_leaving = False
 
     def handlers(self) -> routes.Routes:
-        """Return the table of handlers."""
+        """Return the handlers by route."""
         return {routes.Route("POST", LEAVING): self._serve_leaving}
 
     def run(self) -> None:
-        """Ask for the list as long as the process lives."""
+        """Poll the list until the greenlet is stopped."""
         while True:
             gevent.sleep(LIST_SECONDS * (0.5 + self._rng.random()))
             if self._is_watcher():
                 self.look()
 
     def look(self) -> None:
-        """Ask for the list once and tell the processes on leaving VMs."""
+        """Poll the list once and notify the processes on leaving VMs."""
         vms = self._platform.list_vms()
         if failure_value.is_failure(vms):
             return
         leaving = frozenset(
             vm.address for vm in vms if vm.state == interface.VM_LEAVING
         )
-        # Members on leaving VMs are no longer believed to be alive, so they
-        # are noted first: one that cannot be told now is told next time.
+        # Marking VMs as leaving excludes their members from the live ones, so
+        # they are recorded first: an unreachable one is notified at the next
+        # poll.
         self._untold.update(
             member.address
             for member in self._members()
@@ -87,7 +88,9 @@
         answer = self._peers.call(address, "POST", LEAVING)
         if not failure_value.is_failure(answer):
             self._told.add(address)
-            _log.say("Tells a process that its VM leaves.", address=address)
+            _log.say(
+                "Notified a process that its VM is leaving.", address=address
+            )
 
     def _serve_leaving(self, call: routes.Call) -> routes.Reply:
         del call
@@ -98,7 +101,7 @@
 
 
 def _is_on(address: str, vms: frozenset[str]) -> bool:
-    """Tell whether a process is on one of the VMs.
+    """Return whether a process runs on one of the VMs.
 
     Examples:
         >>> _is_on("10.0.0.1:80", frozenset({"10.0.0.1"}))
--- a/packages/daisypick_node/tests/agent/test_driver.py
+++ b/packages/daisypick_node/tests/agent/test_driver.py
@@ -22,9 +22,9 @@
 
 
 def test_cancel_before_the_first_step_frees_the_slot():
-    # An attempt gets a slot, and its caller leaves before the loop has come
-    # to its greenlet. The killed greenlet never runs; its slot must be free
-    # all the same, or the server loses one for good.
+    # An attempt is cancelled after it got a slot but before its greenlet
+    # first runs. The killed greenlet never runs its cleanup; its slot must
+    # still be freed, or the server permanently loses one.
     engine = fleet_module.make_engine(fleet_module.answer_stream("a"))
     fleet = fleet_module.Fleet([engine])
     agent = fleet.agents[0]
@@ -37,8 +37,8 @@
 
 
 def test_doubled_offer_of_a_forgotten_answer_ends():
-    # An attempt has run and its answer is no longer kept when its offer comes
-    # again, doubled by the network. It must neither run nor wait for good.
+    # A duplicate offer arrives after the attempt has run and its response
+    # was dropped. It must neither run nor wait indefinitely.
     engine = fleet_module.make_engine(fleet_module.answer_stream("a"))
     fleet = fleet_module.Fleet([engine], keep_answer_bytes=1)
     agent = fleet.agents[0]
--- a/packages/daisypick_node/tests/agent/test_tally_service.py
+++ b/packages/daisypick_node/tests/agent/test_tally_service.py
@@ -32,10 +32,10 @@
 
 
 def test_service_at_one_agent_counts_at_the_others(fleet):
-    # "farm" is served at one agent only. The others, which have served
-    # neither, must learn it over the sockets and put "studio" first. Then the
-    # agent that collects becomes unreachable, service comes for "studio" at
-    # another agent, and word of it must get through all the same.
+    # Only one agent has served "farm". The other agents, which have served
+    # neither organisation, must receive this usage over the network and pick
+    # "studio" first. After the collector becomes unreachable, the usage of
+    # "studio" at another agent must still reach all agents.
     for agent in fleet.agents:
         agent.order.arrive("farm", 0.0)
         agent.order.arrive("studio", 0.0)
--- a/packages/daisypick_node/tests/test_at_most_once.py
+++ b/packages/daisypick_node/tests/test_at_most_once.py
@@ -10,7 +10,7 @@
 
 
 class Desk:
-    """A booking desk that waits for the test in the middle of a booking."""
+    """A booking service that blocks each booking until the test resumes it."""
 
     def __init__(self):
         self.go_on = gevent.event.Event()
@@ -46,10 +46,10 @@
 
 @pytest.mark.parametrize("fault", ["lose_answers", "out"])
 def test_key_through_two_routers_at_once_books_once(fleet, desk, fault):
-    # A family's browser sends one booking through two routers at once, and
-    # the store's answer to the claim is lost after it took effect, or the
-    # first data centre is out. The desk is called once; both callers read the
-    # same confirmation.
+    # One booking is sent through two routers concurrently, while the store's
+    # response to the claim is lost after the write took effect, or the first
+    # data centre is out of service. The backend server must be called once,
+    # and both callers must receive the same response.
     if fault == "lose_answers":
         fleet.platform.set_faults(faults.Faults(lose_answers=1))
     else:
@@ -76,9 +76,9 @@
 
 
 def test_retry_after_the_agent_restarted_is_unknown_for_good(fleet, desk):
-    # The desk has the booking, and the agent dies before it hears the end.
-    # Nobody can know any more: the first caller and each retry are told
-    # "unknown", and the desk is not called again.
+    # The agent stops after the backend server received the booking and before
+    # it responded. The outcome cannot be determined: the first caller and each
+    # retry must receive "unknown", and the server must not be called again.
     first = gevent.spawn(book, fleet)
     fleet_module.wait_until(lambda: runs(fleet) == 1)
     place = next(n for n in (0, 1) if fleet.engines[n].calls)
@@ -109,9 +109,10 @@
 
 
 def test_booking_moves_on_from_a_server_that_cannot_be_reached(fleet, desk):
-    # The only open agent claims the key and finds that its server does not
-    # listen. Nothing has run: once the other data centre is in, the router
-    # sends the booking there; that agent takes the key over and books once.
+    # The only available agent claims the key, but its backend server refuses
+    # connections, so nothing has run. Once the other data centre is in
+    # service, the router must retry there; that agent takes over the key and
+    # books once.
     desk.go_on.set()
     fleet.engines[0].stop()
     fleet.out = {1}
@@ -128,10 +129,10 @@
 
 
 def test_agent_does_not_end_while_it_gives_a_key_back(fleet):
-    # An agent drains: it gives back a booking that waited, and its key. If
-    # it ended before the key is free, the caller's next attempt would find
-    # it held by an agent that has restarted since, and be told that the
-    # outcome is unknown although nothing ran.
+    # A draining agent refuses a queued booking and releases its key. If it
+    # exited before the key is free, the caller's next attempt would find the
+    # key held by an agent that has since restarted, and the caller would be
+    # told that the outcome is unknown although nothing ran.
     agent = fleet.agents[0]
     go_on = gevent.event.Event()
     submit = agent.claims._submit
--- a/packages/daisypick_node/tests/test_cold_start.py
+++ b/packages/daisypick_node/tests/test_cold_start.py
@@ -20,7 +20,7 @@
 
 
 class RestartingEngine:
-    """An engine that names its boot id and can hold its answers."""
+    """An engine that sends its boot id and can block its responses."""
 
     def __init__(self):
         self.boot_id = "first"
@@ -50,9 +50,10 @@
 
 
 def test_restarted_server_gets_its_cold_load_at_once(make_fleet):
-    # A warm server of four slots restarts and says nothing but its new boot
-    # id. The first answer after that has only begun when eight requests
-    # come: no more than the two that a cold server bears may run.
+    # A warm server of four slots restarts, which only its new boot id
+    # indicates. Eight requests arrive while the first response after the
+    # restart is in progress: no more than the two requests that a cold server
+    # can handle may run.
     answer = RestartingEngine()
     fleet = make_fleet(fleet_module.make_engine(answer))
     gate = fleet.agents[0].gate
--- a/packages/daisypick_node/tests/test_configuration_service.py
+++ b/packages/daisypick_node/tests/test_configuration_service.py
@@ -22,14 +22,14 @@
 from daisypick_standins.platform import server as platform_server
 
 KEYS = keys_module.Keys(fleet=("fleet-key",), operator=("operator-key",))
-# A node that took itself for a watcher learns otherwise only when its watch
-# ends, so conditions get longer than that to come true.
+# A node that wrongly considers itself a watcher corrects this only when its
+# watch ends, so conditions may take longer than that to become true.
 WATCH_SECONDS = 1.0
 WAIT = WATCH_SECONDS + 20.0
 
 
 class Node:
-    """A process that does nothing but follow the configuration."""
+    """A process that only follows the configuration."""
 
     def __init__(self, platform, seeds, data_centre="sofia"):
         self.installed = []
@@ -47,7 +47,7 @@
                 exchange_seconds=0.5,
                 start_retry=0.2,
                 suspend_seconds=0.2,
-                # Every call reports back by itself.
+                # Each call reports its own outcome, so this is not needed.
                 fetch_timeout=1000.0,
             ),
             watch_seconds=WATCH_SECONDS,
@@ -127,16 +127,16 @@
     for generation in (1, 2):
         store(platform, generation)
         wait_until(all_at(nodes, generation))
-    # By then members know each other, and two of the role watch.
+    # Once the members know each other, two processes of the role watch.
     wait_until(lambda: platform.waiting_watches == 2)
 
 
 def test_offered_change_survives_an_outage_right_after_acceptance(
     platform, nodes
 ):
-    # The store accepts a change and goes down before anybody has read it.
-    # The operator's command line offers it to one process, by its own key;
-    # contact does the rest.
+    # The store accepts a change and becomes unavailable before any process
+    # has read it. The operator's command line offers it to one process, with
+    # the operator key; the processes must distribute it among themselves.
     store(platform, 1)
     wait_until(all_at(nodes, 1))
     platform.set_faults(faults.Faults(outage=faults.UNAVAILABLE))
@@ -155,8 +155,8 @@
 def test_restart_during_an_outage_takes_the_peers_configuration(
     platform, nodes
 ):
-    # A node restarts with nothing while the store is down: its peers are
-    # enough, and it never serves by anything older than they have.
+    # A node starts without a configuration while the store is unavailable. It
+    # must get it from its peers and never serve with an older generation.
     store(platform, 3)
     wait_until(all_at(nodes, 3))
     platform.set_faults(faults.Faults(outage=faults.UNAVAILABLE))
@@ -167,8 +167,9 @@
 
 
 def test_contact_without_an_address_holds_nothing_up(platform, nodes):
-    # A message names a peer that is ahead by an address that is none. Were
-    # the call to end its greenlet, the next news would wait for a timeout.
+    # A message reports a higher generation at a peer with an invalid address.
+    # If the call terminated its greenlet with an exception, the next
+    # generation would be delayed until a timeout.
     store(platform, 1)
     wait_until(all_at(nodes, 1))
     nodes[0].service.note_contact("nowhere", 7)
--- a/packages/daisypick_node/tests/test_idle_word.py
+++ b/packages/daisypick_node/tests/test_idle_word.py
@@ -18,10 +18,10 @@
 
 
 def test_waiting_requests_move_to_an_idle_agent(make_fleet):
-    # Two requests wait at the only agent, whose engine is held. A second
-    # agent comes in and hears nothing of them. It says that it is idle; the
-    # first points the router there; the requests run while the engine of the
-    # first is still held.
+    # Two requests wait at the only agent, whose engine is blocked. A second
+    # agent joins without knowing of them and announces that it is idle. The
+    # first agent must redirect the router to it, so that the requests run
+    # while the engine of the first agent is still blocked.
     go_on = gevent.event.Event()
 
     def _held(environ, start_response):
--- a/packages/daisypick_node/tests/test_key_retries.py
+++ b/packages/daisypick_node/tests/test_key_retries.py
@@ -6,7 +6,7 @@
 
 @pytest.fixture
 def fleet():
-    # A desk that reads each booking, sends half an answer and hangs up.
+    # A server that reads each request, sends half a response and disconnects.
     engine = fleet_module.CuttingEngine(
         "desk", b"HTTP/1.1 201 Created\r\nContent-Length: 9\r\n\r\nplot"
     )
@@ -23,17 +23,18 @@
 
 
 def test_half_an_answer_is_told_as_a_refusal(fleet):
-    # The desk's answer breaks off. Nothing of it has reached the caller, who
-    # must get a refusal with its code, not a connection cut in the middle.
+    # The server disconnects in the middle of its response, of which nothing
+    # has reached the caller. The caller must receive an error with a code, not
+    # a truncated response.
     problem = _book(fleet, "k1")
     assert (problem["code"], problem["ran"]) == (5002, "unknown")
 
 
 def test_retries_of_an_unknown_key_do_not_suspend_the_agent(fleet):
-    # A booking's answer is lost, so its outcome is unknown for good. Its
-    # caller asks again and again and hears "unknown". Each of these answers
-    # used to suspend the agent for longer: the desk idled while the bookings
-    # of all others waited.
+    # A booking's response is lost, so its outcome stays unknown, and each
+    # retry by its caller receives "unknown". If these responses counted as
+    # failures of the agent, each would extend its suspension, and the backend
+    # server would idle while the bookings of other callers wait.
     _book(fleet, "k1")
     views = fleet.routers[0].driver.dispatcher
     view = views._directory.find(fleet.wires[0].address)
