--- a/packages/daisypick_node/src/daisypick_node/agent/__init__.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/__init__.py
@@ -7,5 +7,5 @@
 * ``usage``: counts the tokens of a response as it streams.
 * ``attempt_routes``: HTTP routes for attempts, called by routers.
 * ``claim_service``: claims idempotency keys and commits claims as a batcher.
-* ``same_answer``: replays the first response to a retry of a key.
+* ``response_replay``: replays the first response to a retry of a key.
 """
--- a/packages/daisypick_node/src/daisypick_node/agent/answers.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/answers.py
@@ -116,7 +116,7 @@
         self.notify()
 
 
-def make_forgotten(now: float) -> Answer:
+def make_dropped(now: float) -> Answer:
     """Return a failed response for an attempt whose response was dropped."""
     answer = Answer()
     answer.fail(
@@ -159,9 +159,9 @@
         self._open_ids.discard(attempt_id)
         self._finished_ids.append(attempt_id)
         self._kept_bytes += len(answer.data)
-        self.forget_old(now)
+        self.drop_old(now)
 
-    def forget_old(self, now: float) -> None:
+    def drop_old(self, now: float) -> None:
         """Drop finished responses beyond the age or memory limit."""
         while self._finished_ids:
             attempt_id = self._finished_ids[0]
@@ -181,7 +181,7 @@
             answer.reader_count for answer in self._answer_by_attempt.values()
         )
 
-    def abandoned_ids(self, now: float, grace: float) -> list[str]:
+    def find_abandoned(self, now: float, grace: float) -> list[str]:
         """Return open attempts without a reader for ``grace`` seconds."""
         return [
             attempt_id
@@ -202,8 +202,8 @@
 
     ``describe`` returns the agent's load, which is sent with the first, the
     ``STARTED`` and the last frame. A ``HEARTBEAT`` is sent after each
-    ``beat_seconds`` without another frame, so that a router can distinguish
-    a slow response from a dead connection.
+    ``heartbeat_seconds`` without another frame, so that a router can
+    distinguish a slow response from a dead connection.
     """
 
     def __init__(
@@ -211,12 +211,12 @@
         *,
         answer: Answer,
         offset: int,
-        beat_seconds: float,
+        heartbeat_seconds: float,
         describe: Callable[[], frame.Detail],
     ) -> None:
         self._answer = answer
         self._offset = offset
-        self._beat_seconds = beat_seconds
+        self._heartbeat_seconds = heartbeat_seconds
         self._describe = describe
         self._has_started = False
         self._has_head = False
@@ -231,12 +231,12 @@
             if ready and ready[-1].kind in (frame.END, frame.REFUSED):
                 return
             ready = []
-            if self._is_behind():
+            if self._has_more():
                 continue
-            if not self._answer.wait(self._beat_seconds):
+            if not self._answer.wait(self._heartbeat_seconds):
                 ready = [frame.Frame(kind=frame.HEARTBEAT)]
 
-    def _is_behind(self) -> bool:
+    def _has_more(self) -> bool:
         """Return whether data arrived while the last frames were sent."""
         answer = self._answer
         has_data = answer.head is not None and len(answer.data) > self._offset
--- a/packages/daisypick_node/src/daisypick_node/agent/attempt_routes.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/attempt_routes.py
@@ -32,7 +32,7 @@
 WITHDRAW = "/internal/withdraw"
 CANCEL = "/internal/cancel"
 IDLE = "/internal/idle"
-BEAT_SECONDS = 1.0
+HEARTBEAT_SECONDS = 1.0
 
 
 class Naming(typing.TypedDict):
@@ -42,7 +42,7 @@
     epoch: int
 
 
-class IdleWord(typing.TypedDict):
+class IdleNotice(typing.TypedDict):
     """Announces that an agent has free slots and an empty queue."""
 
     agent: str
@@ -127,7 +127,7 @@
             follower = answers.Follower(
                 answer=answer,
                 offset=offset,
-                beat_seconds=BEAT_SECONDS,
+                heartbeat_seconds=HEARTBEAT_SECONDS,
                 describe=self._driver.detail,
             )
             for ready in follower.frames():
@@ -159,11 +159,11 @@
         return routes.reply_json({"load": self._driver.gate.load()})
 
     def _note_idle(self, call: routes.Call) -> routes.Reply:
-        word = _read_message(call, IdleWord)
-        if failure_value.is_failure(word):
-            return routes.reply_failure(word)
-        self._note_contact(word["agent"], word["load"].generation)
-        self._driver.note_idle(word["agent"], word["load"])
+        notice = _read_message(call, IdleNotice)
+        if failure_value.is_failure(notice):
+            return routes.reply_failure(notice)
+        self._note_contact(notice["agent"], notice["load"].generation)
+        self._driver.note_idle(notice["agent"], notice["load"])
         return routes.reply_json({})
 
 
--- a/packages/daisypick_node/src/daisypick_node/agent/claim_service.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/claim_service.py
@@ -42,11 +42,11 @@
 
 KIND = "claims"
 CLAIMS = "/internal/claims"
-ASK = "/internal/claims/ask"
+STATUS_QUERY = "/internal/claims/ask"
 
 # In seconds. Below the timeout of calls between processes, so that the claimant
 # receives "unavailable" instead of a timed-out call.
-BATCHER_PATIENCE = 1.5
+BATCHER_TIMEOUT = 1.5
 
 
 class OutcomeMessage(typing.TypedDict):
@@ -86,7 +86,7 @@
         self._claimant = core_claimant.Claimant(agent="")
         self._batcher = core_batcher.Batcher(
             rng=rng,
-            limits=core_batcher.BatcherLimits(timeout=BATCHER_PATIENCE),
+            limits=core_batcher.BatcherLimits(timeout=BATCHER_TIMEOUT),
         )
         self._tickets = itertools.count()
         self._settled_by_ticket: dict[int, gevent.event.AsyncResult] = {}
@@ -119,12 +119,14 @@
         """Claim the key of an attempt and wait for the verdict."""
         verdict = gevent.event.AsyncResult()
         self._verdict_by_attempt[attempt.attempt_id] = verdict
-        self._pursue(self._claimant.claim(attempt, self._clock()))
+        self._perform_claimant_actions(
+            self._claimant.claim(attempt, self._clock())
+        )
         return verdict.get()
 
     def release(self, attempt: attempt_message.Attempt) -> None:
         """Release the key of a withdrawn or refused attempt."""
-        self._pursue(self._claimant.release(attempt))
+        self._perform_claimant_actions(self._claimant.release(attempt))
 
     def is_idle(self) -> bool:
         """Return whether no key is being released.
@@ -139,14 +141,14 @@
     def tick(self) -> None:
         """Process timeouts of the claimant and the batcher."""
         now = self._clock()
-        self._pursue(self._claimant.tick(now))
-        self._commit(self._batcher.tick(now))
+        self._perform_claimant_actions(self._claimant.tick(now))
+        self._perform_batcher_actions(self._batcher.tick(now))
 
     def handlers(self) -> routes.Routes:
         """Return the handlers by route."""
         return {
             routes.Route("POST", CLAIMS): self._serve_claim,
-            routes.Route("POST", ASK): self._serve_ask,
+            routes.Route("POST", STATUS_QUERY): self._serve_query,
         }
 
     def describe(self) -> dict[str, typing.Any]:
@@ -159,7 +161,9 @@
 
     # Actions of the claimant.
 
-    def _pursue(self, due: Iterable[actions.ClaimantAction]) -> None:
+    def _perform_claimant_actions(
+        self, due: Iterable[actions.ClaimantAction]
+    ) -> None:
         for action in due:
             if isinstance(action, actions.Conclude):
                 waiter = self._verdict_by_attempt.pop(action.attempt_id)
@@ -177,7 +181,7 @@
             )
         else:
             due = self._claimant.committed(action.attempt_id, outcome, now)
-        self._pursue(due)
+        self._perform_claimant_actions(due)
 
     def _release_claim(self, action: actions.Release) -> None:
         try:
@@ -185,9 +189,9 @@
         finally:
             self._releasing -= 1
 
-    def _ask_holder(self, action: actions.QueryHolder) -> None:
-        status = self._question(action.holder)
-        self._pursue(
+    def _query_holder(self, action: actions.QueryHolder) -> None:
+        status = self._query_status(action.holder)
+        self._perform_claimant_actions(
             self._claimant.answered(
                 action.attempt_id, action.holder, status, self._clock()
             )
@@ -197,39 +201,43 @@
         self, batcher: str, claim: outcomes.Claim
     ) -> outcomes.Outcome | failure_value.Failure:
         if batcher == self._address:
-            return self._submit_here(claim)
+            return self._submit_locally(claim)
         answer = self._peers.call(batcher, "POST", CLAIMS, claim)
         message = peers_module.decode(answer, OutcomeMessage)
         if failure_value.is_failure(message):
             return message
         return _from_message(message)
 
-    def _question(
+    def _query_status(
         self, holder: claim_entry.Entry
     ) -> attempts.AttemptStatus | None:
         if holder.agent == self._address:
-            return self._answer_here(holder)
-        answer = self._peers.call(holder.agent, "POST", ASK, holder)
+            return self._find_status(holder)
+        answer = self._peers.call(holder.agent, "POST", STATUS_QUERY, holder)
         status = peers_module.decode(answer, StatusMessage)
         if failure_value.is_failure(status):
             return None
         return attempts.AttemptStatus(**status)
 
-    def _answer_here(self, holder: claim_entry.Entry) -> attempts.AttemptStatus:
+    def _find_status(self, holder: claim_entry.Entry) -> attempts.AttemptStatus:
         status, due = claim_holder.answer(self._gate, holder, self._clock())
         self._perform_gate(due)
         return status
 
     # Actions of the batcher.
 
-    def _submit_here(self, claim: outcomes.Claim) -> outcomes.Outcome:
+    def _submit_locally(self, claim: outcomes.Claim) -> outcomes.Outcome:
         ticket = next(self._tickets)
         settled = gevent.event.AsyncResult()
         self._settled_by_ticket[ticket] = settled
-        self._commit(self._batcher.submit(ticket, claim, self._clock()))
+        self._perform_batcher_actions(
+            self._batcher.submit(ticket, claim, self._clock())
+        )
         return settled.get()
 
-    def _commit(self, due: Iterable[actions.BatcherAction]) -> None:
+    def _perform_batcher_actions(
+        self, due: Iterable[actions.BatcherAction]
+    ) -> None:
         for action in due:
             if isinstance(action, actions.Settle):
                 waiter = self._settled_by_ticket.pop(action.ticket)
@@ -238,11 +246,13 @@
                 gevent.spawn(self._call_store, action)
 
     def _call_store(self, call: actions.StoreCall) -> None:
-        result = _carry_out(call, self._platform)
+        result = _call_platform(call, self._platform)
         if isinstance(result, interface.StoredObject):
             result = actions.Stored(version=result.version, value=result.value)
         if result is not None:
-            self._commit(self._batcher.done(call, result, self._clock()))
+            self._perform_batcher_actions(
+                self._batcher.done(call, result, self._clock())
+            )
 
     # Routes called by other agents.
 
@@ -250,14 +260,14 @@
         claim = _read(call, outcomes.Claim)
         if failure_value.is_failure(claim):
             return routes.reply_failure(claim)
-        outcome = self._submit_here(claim)
+        outcome = self._submit_locally(claim)
         return routes.reply_json(_to_message(outcome))
 
-    def _serve_ask(self, call: routes.Call) -> routes.Reply:
+    def _serve_query(self, call: routes.Call) -> routes.Reply:
         holder = _read(call, claim_entry.Entry)
         if failure_value.is_failure(holder):
             return routes.reply_failure(holder)
-        status = self._answer_here(holder)
+        status = self._find_status(holder)
         return routes.reply_json(
             StatusMessage(state=status.state, ran=status.ran)
         )
@@ -266,33 +276,33 @@
 _handler_by_action: dict[type, Callable[..., None]] = {
     actions.Commit: ClaimService._commit_claim,
     actions.Release: ClaimService._release_claim,
-    actions.QueryHolder: ClaimService._ask_holder,
+    actions.QueryHolder: ClaimService._query_holder,
 }
 
 
 @functools.singledispatch
-def _carry_out(
+def _call_platform(
     call: typing.Any, platform: interface.PlatformClient
 ) -> interface.StoredObject | failure_value.Failure | None:
     raise TypeError(f"call: {type(call).__name__} has no handler")
 
 
-@_carry_out.register
-def _carry_out_read(
+@_call_platform.register
+def _call_platform_read(
     call: actions.Read, platform: interface.PlatformClient
 ) -> interface.StoredObject | failure_value.Failure:
     return platform.get(KIND, call.name)
 
 
-@_carry_out.register
-def _carry_out_write(
+@_call_platform.register
+def _call_platform_write(
     call: actions.Write, platform: interface.PlatformClient
 ) -> interface.StoredObject | failure_value.Failure:
     return platform.put(KIND, call.name, call.value, if_version=call.if_version)
 
 
-@_carry_out.register
-def _carry_out_delete(
+@_call_platform.register
+def _call_platform_delete(
     call: actions.Delete, platform: interface.PlatformClient
 ) -> failure_value.Failure | None:
     return platform.delete(KIND, call.name, if_version=call.if_version)
--- a/packages/daisypick_node/src/daisypick_node/agent/driver.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/driver.py
@@ -25,8 +25,8 @@
 from daisypick_node import records
 from daisypick_node.agent import answers
 from daisypick_node.agent import claim_service
+from daisypick_node.agent import response_replay as response_replay_module
 from daisypick_node.agent import runner as runner_module
-from daisypick_node.agent import same_answer as same_answer_module
 
 _log = logs.PartLog("agent.driver")
 ABANDON_SECONDS = 10.0
@@ -48,7 +48,7 @@
         store: answers.AnswerStore,
         runner: runner_module.Runner,
         claims: claim_service.ClaimService,
-        same_answer: same_answer_module.SameAnswer,
+        response_replay: response_replay_module.ResponseReplay,
         server: str,
         clock: Callable[[], float],
         record: records.RequestRecord,
@@ -58,7 +58,7 @@
         self.server = server
         self._runner = runner
         self._claims = claims
-        self._same_answer = same_answer
+        self._response_replay = response_replay
         self._holder_by_attempt: dict[str, claim_entry.Entry] = {}
         self._clock = clock
         self._record = record
@@ -83,7 +83,7 @@
         if not due and self.answers.get(attempt_id) is None:
             # A duplicate offer of an attempt whose response was dropped. A
             # new response would never end and would be checked for ever.
-            return answers.make_forgotten(now)
+            return answers.make_dropped(now)
         self.perform(due)
         return self.answers.get_or_make(attempt_id)
 
@@ -111,8 +111,8 @@
         """Process timeouts of the gate; cancel attempts without a reader."""
         now = self._clock()
         self.perform(self.gate.tick(now))
-        self.answers.forget_old(now)
-        for attempt_id in self.answers.abandoned_ids(now, ABANDON_SECONDS):
+        self.answers.drop_old(now)
+        for attempt_id in self.answers.find_abandoned(now, ABANDON_SECONDS):
             # The router disconnected and did not resume its stream. If they
             # were not cancelled, its requests would occupy slots until their
             # end although no caller receives the responses.
@@ -201,10 +201,10 @@
         attempt_id: str,
         holder: claim_entry.Entry,
         answer: answers.Answer,
-        otherwise: failure_value.Failure,
+        fallback: failure_value.Failure,
     ) -> None:
         """Copy the response of the attempt that holds the key."""
-        self._same_answer.copy(holder, answer, otherwise)
+        self._response_replay.copy(holder, answer, fallback)
         self.answers.note_finished(attempt_id, self._clock())
 
     def _run(self, work: runner_module.Work, answer: answers.Answer) -> None:
@@ -233,11 +233,11 @@
     ) -> None:
         now = self._clock()
         if not answer.is_over:
-            answer.fail(_fault_failure(), now)
+            answer.fail(_internal_failure(), now)
         attempt_id = work.attempt.attempt_id
         self.answers.note_finished(attempt_id, now)
         self._note(work.attempt.request_id, "ended", attempt_id)
-        has_run = not _has_never_arrived(answer)
+        has_run = not _was_not_delivered(answer)
         self.perform(
             self.gate.finish(
                 attempt_id,
@@ -293,7 +293,7 @@
     driver.stop(action.attempt.attempt_id)
 
 
-def _has_never_arrived(answer: answers.Answer) -> bool:
+def _was_not_delivered(answer: answers.Answer) -> bool:
     """Return whether the attempt certainly did not reach the server."""
     failure = answer.failure
     return failure is not None and failure.code == codes.ENGINE_UNREACHABLE
@@ -305,7 +305,7 @@
     )
 
 
-def _fault_failure() -> failure_value.Failure:
+def _internal_failure() -> failure_value.Failure:
     return failure_value.Failure(
         code=codes.OUTCOME_UNKNOWN, reason="agent: failed while it ran"
     )
--- a/packages/daisypick_node/src/daisypick_node/agent/idle_word.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/idle_notifier.py
@@ -15,7 +15,7 @@
 from daisypick_node.http import peers as peers_module
 
 
-class IdleWord:
+class IdleNotifier:
     """Announces one agent to the other agents of its service."""
 
     def __init__(
@@ -31,7 +31,7 @@
         self._peers = peers
         self._address = ""
         self._rng = rng
-        self._seeker = idle_peers.IdleAnnouncer(rng=rng)
+        self._announcer = idle_peers.IdleAnnouncer(rng=rng)
         self._others: list[str] = []
 
     def set_configuration(self, configuration: model.Configuration) -> None:
@@ -53,14 +53,14 @@
     def tick(self, now: float) -> None:
         """Send an announcement to a few peers if one is due."""
         load = self._gate.load()
-        if not self._others or not self._seeker.is_due(
+        if not self._others or not self._announcer.is_due(
             free=load.free, waiting=load.waiting, now=now
         ):
             return
-        self._seeker.record_announced(now)
+        self._announcer.record_announced(now)
         count = min(idle_peers.PEERS_PER_ANNOUNCEMENT, len(self._others))
-        word = attempt_routes.IdleWord(agent=self._address, load=load)
+        notice = attempt_routes.IdleNotice(agent=self._address, load=load)
         for other in self._rng.sample(self._others, count):
             gevent.spawn(
-                self._peers.call, other, "POST", attempt_routes.IDLE, word
+                self._peers.call, other, "POST", attempt_routes.IDLE, notice
             )
--- a/packages/daisypick_node/src/daisypick_node/agent/process.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/process.py
@@ -17,9 +17,9 @@
 from daisypick_node.agent import attempt_routes
 from daisypick_node.agent import claim_service
 from daisypick_node.agent import driver as driver_module
-from daisypick_node.agent import idle_word
+from daisypick_node.agent import idle_notifier
+from daisypick_node.agent import response_replay
 from daisypick_node.agent import runner
-from daisypick_node.agent import same_answer
 from daisypick_node.agent import tally_service
 from daisypick_node.http import client
 from daisypick_node.http import routes
@@ -57,7 +57,7 @@
         )
         self.driver = self._make_driver()
         self.claims.connect(self.driver.perform)
-        self.idle_word = idle_word.IdleWord(
+        self.idle_notifier = idle_notifier.IdleNotifier(
             name=settings.name,
             gate=self.gate,
             peers=self.peers,
@@ -90,7 +90,7 @@
                 note_boot=self.gate.limit.boot_seen,
             ),
             claims=self.claims,
-            same_answer=same_answer.SameAnswer(
+            response_replay=response_replay.ResponseReplay(
                 store=store,
                 pool=self._pool,
                 fleet_key=settings_module.split_list(
@@ -143,7 +143,7 @@
         """Process timeouts and send the reports that are due."""
         self.driver.tick()
         self.claims.tick()
-        self.idle_word.tick(self.clock())
+        self.idle_notifier.tick(self.clock())
         self.tally.tick()
 
     def on_configuration(self) -> None:
@@ -156,7 +156,7 @@
                 )
             }
         )
-        self.idle_word.set_configuration(self.configuration)
+        self.idle_notifier.set_configuration(self.configuration)
         self.tally.set_configuration(self.configuration)
         self.claims.set_configuration(self.configuration)
         server = self.configuration.backend_servers_by_name.get(
--- a/packages/daisypick_node/src/daisypick_node/agent/same_answer.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/response_replay.py
@@ -22,10 +22,10 @@
 
 ATTEMPTS = "/internal/attempts"
 RESUME_PAUSES = (0.0, 0.2, 0.5)
-BEAT_SECONDS = 1.0
+HEARTBEAT_SECONDS = 1.0
 
 
-class SameAnswer:
+class ResponseReplay:
     """Copies responses of the attempts that hold idempotency keys."""
 
     def __init__(
@@ -45,13 +45,13 @@
         self,
         holder: claim_entry.Entry,
         answer: answers.Answer,
-        otherwise: failure_value.Failure,
+        fallback: failure_value.Failure,
     ) -> None:
         """Copy the holder's response to ``answer``.
 
-        If the holder did not run, fail ``answer`` with ``otherwise``.
+        If the holder did not run, fail ``answer`` with ``fallback``.
         """
-        failure = self._copy(holder, answer, otherwise)
+        failure = self._copy(holder, answer, fallback)
         if failure is not None:
             answer.fail(failure, self._clock())
 
@@ -59,31 +59,33 @@
         self,
         holder: claim_entry.Entry,
         answer: answers.Answer,
-        otherwise: failure_value.Failure,
+        fallback: failure_value.Failure,
     ) -> failure_value.Failure | None:
-        kept = self._store.get(holder.attempt_id)
-        if kept is not None:
-            frames = _frames_here(kept, len(answer.data))
-            return self._take(frames, answer, otherwise)
+        stored = self._store.get(holder.attempt_id)
+        if stored is not None:
+            frames = _local_frames(stored, len(answer.data))
+            return self._copy_frames(frames, answer, fallback)
         for pause in RESUME_PAUSES:
             gevent.sleep(pause)
             try:
-                response = self._ask(holder, len(answer.data))
+                response = self._request(holder, len(answer.data))
             except client.CALL_ERRORS:
                 continue
             if response.status_code != 200:
                 client.abandon(response)
                 return _unknown("agent: the answer is no longer kept")
             try:
-                frames = _frames_of(response)
-                return self._take(frames, answer, otherwise)
+                frames = _remote_frames(response)
+                return self._copy_frames(frames, answer, fallback)
             except (*client.CALL_ERRORS, EOFError, msgspec.MsgspecError):
                 self._pool.forget(holder.agent)
             finally:
                 client.abandon(response)
         return _unknown("agent: the answer's holder cannot be reached")
 
-    def _ask(self, holder: claim_entry.Entry, offset: int) -> client.Response:
+    def _request(
+        self, holder: claim_entry.Entry, offset: int
+    ) -> client.Response:
         attempt_id = urllib.parse.quote(holder.attempt_id)
         return self._pool.request(
             holder.agent,
@@ -92,11 +94,11 @@
             headers=self._headers,
         )
 
-    def _take(
+    def _copy_frames(
         self,
         frames: Iterator[frame.Frame],
         answer: answers.Answer,
-        otherwise: failure_value.Failure,
+        fallback: failure_value.Failure,
     ) -> failure_value.Failure | None:
         """Copy frames up to the last one; return a failure if there is one.
 
@@ -113,26 +115,26 @@
                 answer.finish(answers.Usage(), self._clock())
                 return None
             elif part.kind == frame.REFUSED:
-                return _refusal(part, otherwise)
+                return _refusal(part, fallback)
         raise EOFError("frames")
 
 
-def _frames_here(kept: answers.Answer, offset: int) -> Iterator[frame.Frame]:
+def _local_frames(stored: answers.Answer, offset: int) -> Iterator[frame.Frame]:
     follower = answers.Follower(
-        answer=kept,
+        answer=stored,
         offset=offset,
-        beat_seconds=BEAT_SECONDS,
+        heartbeat_seconds=HEARTBEAT_SECONDS,
         describe=lambda: frame.Detail(),
     )
-    kept.reader_count += 1
+    stored.reader_count += 1
     try:
         for ready in follower.frames():
             yield from ready
     finally:
-        kept.reader_count -= 1
+        stored.reader_count -= 1
 
 
-def _frames_of(response: client.Response) -> Iterator[frame.Frame]:
+def _remote_frames(response: client.Response) -> Iterator[frame.Frame]:
     rest = b""
     while data := client.read_available(response):
         parts, rest = frame.decode_lines(rest + data)
@@ -147,7 +149,7 @@
 
 
 def _refusal(
-    part: frame.Frame, otherwise: failure_value.Failure
+    part: frame.Frame, fallback: failure_value.Failure
 ) -> failure_value.Failure:
     """Return the failure for the retry after a failure of the holder.
 
@@ -157,7 +159,7 @@
     assert part.detail is not None
     code = codes.by_number.get(part.detail["code"], codes.OUTCOME_UNKNOWN)
     if code.ran == codes.RAN_NO:
-        return otherwise
+        return fallback
     return failure_value.Failure(code=code, reason=part.detail["reason"])
 
 
--- a/packages/daisypick_node/src/daisypick_node/agent/runner.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/runner.py
@@ -89,15 +89,15 @@
         except ValueError as error:
             # The HTTP client could not build the request: nothing was sent,
             # and the agent of any other server would fail in the same way.
-            return self._fail(answer, _bad_call(error))
+            return self._fail(answer, _invalid_call_failure(error))
         first_byte_at = None
         try:
             boot_id = str(response.get(BOOT_ID, ""))
             if boot_id:
                 self._note_boot(boot_id)
-            if _is_refusal(work.attempt, response.status_code):
+            if _is_retried_elsewhere(work.attempt, response.status_code):
                 return self._fail(answer, _engine_failure(response))
-            meter = self._open(answer, response)
+            meter = self._start_response(answer, response)
             while data := client.read_available(response):
                 first_byte_at = first_byte_at or self._clock()
                 meter.feed(data)
@@ -124,7 +124,7 @@
             server, work.method, work.path, body=work.body, headers=headers
         )
 
-    def _open(
+    def _start_response(
         self, answer: answers.Answer, response: client.Response
     ) -> usage_module.UsageMeter:
         headers = [
@@ -169,7 +169,9 @@
         )
 
 
-def _is_refusal(attempt: attempt_message.Attempt, status: int) -> bool:
+def _is_retried_elsewhere(
+    attempt: attempt_message.Attempt, status: int
+) -> bool:
     """Return whether to retry the request on another backend server.
 
     A server that crashes during its cold start responds with 5xx; a repeatable
@@ -200,7 +202,7 @@
     )
 
 
-def _bad_call(error: ValueError) -> failure_value.Failure:
+def _invalid_call_failure(error: ValueError) -> failure_value.Failure:
     return failure_value.Failure(code=codes.BAD_REQUEST, reason=str(error))
 
 
--- a/packages/daisypick_node/src/daisypick_node/agent/tally_service.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/tally_service.py
@@ -30,7 +30,7 @@
 PREFIX = "/internal/tally/"
 AGENT = f"{PREFIX}agent"
 RELAY = f"{PREFIX}relay"
-AGENTS_SECONDS = 2.0
+AGENTS_UPDATE_SECONDS = 2.0
 
 _log = logs.PartLog("tally")
 
@@ -81,8 +81,8 @@
             self.node = None
             return
         shares = self._shares()
-        place = (server.service, server.agent, server.data_centre)
-        if self.node is None or before is None or place != _place(before):
+        location = (server.service, server.agent, server.data_centre)
+        if self.node is None or before is None or location != _location(before):
             self.node = self._make_node(server, shares)
         self.node.set_shares(shares)
         self._next_agents = 0.0
@@ -93,7 +93,7 @@
             return
         now = self._clock()
         if now >= self._next_agents:
-            self._next_agents = now + AGENTS_SECONDS
+            self._next_agents = now + AGENTS_UPDATE_SECONDS
             self.node.set_agents(self._agents())
         for send in self.node.tick(now):
             self._greenlets.spawn(self._send, self.node, send)
@@ -189,5 +189,5 @@
         return routes.reply_json(self.node.receive(report, self._clock()))
 
 
-def _place(server: model.BackendServer) -> tuple[str, str, str]:
+def _location(server: model.BackendServer) -> tuple[str, str, str]:
     return (server.service, server.agent, server.data_centre)
