--- a/packages/daisypick_node/src/daisypick_node/configuration_routes.py
+++ b/packages/daisypick_node/src/daisypick_node/configuration_routes.py
@@ -51,23 +51,23 @@
 
     Args:
         holder: The configuration of this process.
-        hear: Receives the notice of another process.
+        receive_notice: Receives the notice of another process.
         make_notice: Returns the notice of this process.
-        take_offer: Receives an operator's offer.
+        receive_offer: Receives an operator's offer.
     """
 
     def __init__(
         self,
         *,
         holder: distribution.ConfigurationHolder,
-        hear: Callable[[Notice], None],
+        receive_notice: Callable[[Notice], None],
         make_notice: Callable[[], Notice],
-        take_offer: Callable[[wire.RootResponse], None],
+        receive_offer: Callable[[wire.RootResponse], None],
     ) -> None:
         self._holder = holder
-        self._hear = hear
+        self._receive_notice = receive_notice
         self._make_notice = make_notice
-        self._take_offer = take_offer
+        self._receive_offer = receive_offer
 
     def handlers(self) -> routes.Routes:
         """Return the handlers by route."""
@@ -100,7 +100,7 @@
         notice = peers_module.decode(body, Notice)
         if failure_value.is_failure(notice):
             return routes.reply_failure(notice)
-        self._hear(notice)
+        self._receive_notice(notice)
         return routes.reply_json(self._make_notice())
 
     def _serve_offer(self, call: routes.Call) -> routes.Reply:
@@ -110,7 +110,7 @@
         answer = wire.decode_response(body)
         if failure_value.is_failure(answer):
             return routes.reply_failure(answer)
-        self._take_offer(answer)
+        self._receive_offer(answer)
         return routes.reply_json({"generation": self._holder.generation})
 
 
--- a/packages/daisypick_node/src/daisypick_node/configuration_service.py
+++ b/packages/daisypick_node/src/daisypick_node/configuration_service.py
@@ -37,9 +37,9 @@
 WATCH_SECONDS = 25.0
 WATCH_PAUSE = 2.0
 TICK_SECONDS = 0.5
-MEMBERS_SECONDS = 5.0
-MEMBERS_TOLD = 4
-ROUTERS_SHOWN = 200
+MEMBERS_UPDATE_SECONDS = 5.0
+MEMBERS_PER_NOTICE = 4
+MAX_ROUTERS_LISTED = 200
 
 _log = logs.PartLog("configuration")
 
@@ -80,7 +80,7 @@
         self._watch_seconds = watch_seconds
         self._greenlets = gevent.pool.Group()
         self._installed = 0
-        self._next_members = 0.0
+        self._next_members_update = 0.0
         self._listed = model.EMPTY.backend_servers_by_name
         self._version = ""
 
@@ -93,8 +93,8 @@
         self._own = self._own._replace(address=address)
         self.directory = member_directory.Directory(own=self._own)
         now = self._clock()
-        self._take_members(now)
-        self._carry_out(self.holder.start(now))
+        self._update_members(now)
+        self._perform(self.holder.start(now))
         self._greenlets.spawn(self._tick_forever)
         self._greenlets.spawn(self._watch_forever)
 
@@ -106,15 +106,15 @@
         """Record a peer's generation, received in a request or response."""
         now = self._clock()
         self.directory.record_contact(peer, now)
-        self._carry_out(self.holder.record_contact(peer, generation, now))
+        self._perform(self.holder.record_contact(peer, generation, now))
 
     def handlers(self) -> routes.Routes:
         """Return the handlers by route."""
         return configuration_routes.ConfigurationRoutes(
             holder=self.holder,
-            hear=self._hear,
+            receive_notice=self._receive_notice,
             make_notice=self._make_notice,
-            take_offer=self._take_offer,
+            receive_offer=self._receive_offer,
         ).handlers()
 
     def describe(self) -> dict[str, typing.Any]:
@@ -134,14 +134,14 @@
             for member in members
             if member.role == member_directory.ROUTER
         )
-        return routers[:ROUTERS_SHOWN]
+        return routers[:MAX_ROUTERS_LISTED]
 
-    def _carry_out(self, due: Iterable[actions.Action]) -> None:
+    def _perform(self, due: Iterable[actions.Action]) -> None:
         """Perform actions; each one that blocks runs in its own greenlet."""
         for action in due:
             if isinstance(action, actions.Activate):
                 if "backend_servers" in action.changed_by_section:
-                    self._take_members(self._clock())
+                    self._update_members(self._clock())
             elif isinstance(action, actions.Reject):
                 _log.say(
                     "Rejected a configuration.",
@@ -163,22 +163,22 @@
             answer = self._fetch_root(action)
             self._note_outcome(action.source, answer)
             due = self.holder.receive_root(action.source, answer, self._clock())
-            self._carry_out(due)
+            self._perform(due)
         elif isinstance(action, actions.FetchChunks):
             chunk_by_hash = self._fetch_chunks(action)
             self._note_outcome(action.source, chunk_by_hash)
-            self._take_chunks(action.source, chunk_by_hash)
+            self._receive_chunks(action.source, chunk_by_hash)
         elif isinstance(action, actions.FetchPack):
             pack = configuration_store.read_pack(self._platform, action.name)
-            self._take_chunks(actions.STORE, pack)
+            self._receive_chunks(actions.STORE, pack)
 
-    def _take_chunks(
+    def _receive_chunks(
         self,
         source: str,
         chunk_by_hash: dict[str, bytes] | failure_value.Failure,
     ) -> None:
         now = self._clock()
-        self._carry_out(self.holder.receive_chunks(source, chunk_by_hash, now))
+        self._perform(self.holder.receive_chunks(source, chunk_by_hash, now))
 
     def _fetch_root(
         self, action: actions.FetchRoot
@@ -220,7 +220,7 @@
         self._note_outcome(peer, data)
         notice = peers_module.decode(data, configuration_routes.Notice)
         if not failure_value.is_failure(notice):
-            self._hear(notice)
+            self._receive_notice(notice)
 
     def _call(
         self, address: str, method: str, path: str, message: object = None
@@ -233,10 +233,10 @@
                 code=codes.PEER_UNREACHABLE, reason=str(error)
             )
 
-    def _take_offer(self, answer: wire.RootResponse) -> None:
+    def _receive_offer(self, answer: wire.RootResponse) -> None:
         now = self._clock()
         due = self.holder.receive_root(actions.OPERATOR, answer, now)
-        self._carry_out(due)
+        self._perform(due)
 
     def _note_outcome(self, source: str, outcome: object) -> None:
         if source in (actions.STORE, actions.OPERATOR):
@@ -251,11 +251,11 @@
             member=self._own,
             generation=self.holder.generation,
             members=self.directory.sample(
-                self._rng, MEMBERS_TOLD, self._clock()
+                self._rng, MEMBERS_PER_NOTICE, self._clock()
             ),
         )
 
-    def _hear(self, notice: configuration_routes.Notice) -> None:
+    def _receive_notice(self, notice: configuration_routes.Notice) -> None:
         now = self._clock()
         self.directory.record_member(notice["member"], now)
         for gossip_entry in notice["members"]:
@@ -263,7 +263,7 @@
                 gossip_entry.member, now, age=gossip_entry.age
             )
         peer = notice["member"].address
-        self._carry_out(
+        self._perform(
             self.holder.record_contact(peer, notice["generation"], now)
         )
 
@@ -271,15 +271,15 @@
         while True:
             gevent.sleep(TICK_SECONDS)
             now = self._clock()
-            if now >= self._next_members:
-                self._take_members(now)
-            self._carry_out(self.holder.tick(now))
+            if now >= self._next_members_update:
+                self._update_members(now)
+            self._perform(self.holder.tick(now))
 
-    def _take_members(self, now: float) -> None:
+    def _update_members(self, now: float) -> None:
         """Update the directory and the holder's peers."""
-        self._next_members = now + MEMBERS_SECONDS
+        self._next_members_update = now + MEMBERS_UPDATE_SECONDS
         self.directory.forget_old(now)
-        self._take_listed()
+        self._update_listed_agents()
         members = self.directory.members(now)
         near = [
             member.address
@@ -291,7 +291,7 @@
         addresses.discard(self._own.address)
         self.holder.set_peers(sorted(addresses), near)
 
-    def _take_listed(self) -> None:
+    def _update_listed_agents(self) -> None:
         """Update the listed agents if the configuration has changed."""
         servers = self.holder.configuration.backend_servers_by_name
         if servers is self._listed:
@@ -318,7 +318,7 @@
     def _watch_forever(self) -> None:
         while True:
             if not self.is_watcher():
-                gevent.sleep(MEMBERS_SECONDS)
+                gevent.sleep(MEMBERS_UPDATE_SECONDS)
                 continue
             stored = self._platform.watch(
                 configuration_store.KIND,
@@ -329,13 +329,13 @@
             if failure_value.is_failure(stored):
                 gevent.sleep(WATCH_PAUSE * (0.5 + self._rng.random()))
             elif stored is not None:
-                self._take_watched(stored)
+                self._receive_watched_root(stored)
 
-    def _take_watched(self, stored: interface.StoredObject) -> None:
+    def _receive_watched_root(self, stored: interface.StoredObject) -> None:
         self._version = stored.version
         decoded = configuration_store.decode_root(stored)
         answer: wire.RootResponse | failure_value.Failure = decoded
         if not failure_value.is_failure(decoded):
             answer = wire.RootResponse(root=decoded.root, chunk_by_hash={})
         now = self._clock()
-        self._carry_out(self.holder.receive_root(actions.STORE, answer, now))
+        self._perform(self.holder.receive_root(actions.STORE, answer, now))
--- a/packages/daisypick_node/src/daisypick_node/configuration_store.py
+++ b/packages/daisypick_node/src/daisypick_node/configuration_store.py
@@ -121,11 +121,11 @@
                 return NOTHING
             return stored
         outcome = _read_tree(client, stored)
-        is_moved = (
+        is_pack_deleted = (
             failure_value.is_failure(outcome)
             and outcome.code == codes.NOT_FOUND
         )
-        if not is_moved:
+        if not is_pack_deleted:
             return outcome
     return outcome
 
--- a/packages/daisypick_node/src/daisypick_node/vm_watch.py
+++ b/packages/daisypick_node/src/daisypick_node/vm_watch.py
@@ -49,8 +49,8 @@
         self._take_leaving = take_leaving
         self._on_leaving = on_leaving
         self._rng = rng
-        self._untold: set[str] = set()
-        self._told: set[str] = set()
+        self._to_notify: set[str] = set()
+        self._notified: set[str] = set()
         self.is_leaving = False
 
     def handlers(self) -> routes.Routes:
@@ -75,19 +75,19 @@
         # Marking VMs as leaving excludes their members from the live ones, so
         # they are recorded first: an unreachable one is notified at the next
         # poll.
-        self._untold.update(
+        self._to_notify.update(
             member.address
             for member in self._members()
-            if _is_on(member.address, leaving)
+            if _runs_on(member.address, leaving)
         )
         self._take_leaving(leaving)
-        for address in sorted(self._untold - self._told):
-            self._tell(address)
+        for address in sorted(self._to_notify - self._notified):
+            self._notify(address)
 
-    def _tell(self, address: str) -> None:
+    def _notify(self, address: str) -> None:
         answer = self._peers.call(address, "POST", LEAVING)
         if not failure_value.is_failure(answer):
-            self._told.add(address)
+            self._notified.add(address)
             _log.say(
                 "Notified a process that its VM is leaving.", address=address
             )
@@ -100,13 +100,13 @@
         return routes.reply_json({"leaving": True})
 
 
-def _is_on(address: str, vms: frozenset[str]) -> bool:
+def _runs_on(address: str, vms: frozenset[str]) -> bool:
     """Return whether a process runs on one of the VMs.
 
     Examples:
-        >>> _is_on("10.0.0.1:80", frozenset({"10.0.0.1"}))
+        >>> _runs_on("10.0.0.1:80", frozenset({"10.0.0.1"}))
         True
-        >>> _is_on("10.0.0.1:80", frozenset({"10.0.0.1:81"}))
+        >>> _runs_on("10.0.0.1:80", frozenset({"10.0.0.1:81"}))
         False
     """
     return address in vms or client.parse_address(address).host in vms
