--- a/packages/daisypick_node/tests/agent/test_driver.py
+++ b/packages/daisypick_node/tests/agent/test_driver.py
@@ -36,7 +36,7 @@
     assert engine.calls == []
 
 
-def test_doubled_offer_of_a_forgotten_answer_ends():
+def test_duplicate_offer_after_its_response_was_dropped_fails():
     # A duplicate offer arrives after the attempt has run and its response
     # was dropped. It must neither run nor wait indefinitely.
     engine = fleet_module.make_engine(fleet_module.answer_stream("a"))
--- a/packages/daisypick_node/tests/agent/test_tally_service.py
+++ b/packages/daisypick_node/tests/agent/test_tally_service.py
@@ -31,7 +31,7 @@
     )
 
 
-def test_service_at_one_agent_counts_at_the_others(fleet):
+def test_usage_at_one_agent_counts_at_the_others(fleet):
     # Only one agent has served "farm". The other agents, which have served
     # neither organisation, must receive this usage over the network and pick
     # "studio" first. After the collector becomes unreachable, the usage of
--- a/packages/daisypick_node/tests/test_at_most_once.py
+++ b/packages/daisypick_node/tests/test_at_most_once.py
@@ -13,10 +13,10 @@
     """A booking service that blocks each booking until the test resumes it."""
 
     def __init__(self):
-        self.go_on = gevent.event.Event()
+        self.resume = gevent.event.Event()
 
     def __call__(self, environ, start_response):
-        self.go_on.wait()
+        self.resume.wait()
         start_response("200 OK", [("Content-Length", "6")])
         return [b"plot 7"]
 
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("fault", ["lose_answers", "out"])
-def test_key_through_two_routers_at_once_books_once(fleet, desk, fault):
+def test_concurrent_requests_with_one_key_run_once(fleet, desk, fault):
     # One booking is sent through two routers concurrently, while the store's
     # response to the claim is lost after the write took effect, or the first
     # data centre is out of service. The backend server must be called once,
@@ -57,15 +57,15 @@
         fleet.configure()
     calls = [gevent.spawn(book, fleet, router) for router in (0, 1)]
     fleet_module.wait_until(lambda: runs(fleet) == 1)
-    desk.go_on.set()
+    desk.resume.set()
     answers = [call.get(timeout=10) for call in calls]
     assert [answer.status_code for answer in answers] == [200, 200]
     assert [answer.read() for answer in answers] == [b"plot 7", b"plot 7"]
     assert runs(fleet) == 1
 
 
-def test_retry_of_a_finished_key_gets_the_first_answer(fleet, desk):
-    desk.go_on.set()
+def test_retry_of_a_finished_key_gets_the_first_response(fleet, desk):
+    desk.resume.set()
     for router in (0, 1, 0, 1):
         assert book(fleet, router).read() == b"plot 7"
     assert runs(fleet) == 1
@@ -75,26 +75,26 @@
     assert runs(fleet) == 2
 
 
-def test_retry_after_the_agent_restarted_is_unknown_for_good(fleet, desk):
+def test_retry_after_an_agent_restart_stays_unknown(fleet, desk):
     # The agent stops after the backend server received the booking and before
     # it responded. The outcome cannot be determined: the first caller and each
     # retry must receive "unknown", and the server must not be called again.
     first = gevent.spawn(book, fleet)
     fleet_module.wait_until(lambda: runs(fleet) == 1)
-    place = next(n for n in (0, 1) if fleet.engines[n].calls)
-    address = fleet.agents[place].address
-    fleet.agents[place].stop()
-    fleet.agents[place] = fleet.make_agent(place, listen=address)
+    index = next(n for n in (0, 1) if fleet.engines[n].calls)
+    address = fleet.agents[index].address
+    fleet.agents[index].stop()
+    fleet.agents[index] = fleet.make_agent(index, listen=address)
     fleet.configure()
-    desk.go_on.set()
+    desk.resume.set()
     assert b'"ran":"unknown"' in first.get(timeout=20).read()
     for router in (0, 1):
         assert b'"ran":"unknown"' in book(fleet, router).read()
     assert runs(fleet) == 1
 
 
-def test_store_down_refuses_bookings_as_not_run_and_then_recovers(fleet, desk):
-    desk.go_on.set()
+def test_store_outage_refuses_bookings_as_not_run_and_recovers(fleet, desk):
+    desk.resume.set()
     outage = faults.Faults(outage=faults.UNAVAILABLE)
     fleet.platform.set_faults(outage)
     refused = book(fleet)
@@ -108,12 +108,12 @@
     assert runs(fleet) == 1
 
 
-def test_booking_moves_on_from_a_server_that_cannot_be_reached(fleet, desk):
+def test_booking_is_retried_when_its_server_is_unreachable(fleet, desk):
     # The only available agent claims the key, but its backend server refuses
     # connections, so nothing has run. Once the other data centre is in
     # service, the router must retry there; that agent takes over the key and
     # books once.
-    desk.go_on.set()
+    desk.resume.set()
     fleet.engines[0].stop()
     fleet.out = {1}
     fleet.configure()
@@ -128,15 +128,15 @@
     assert runs(fleet) == 1
 
 
-def test_agent_does_not_end_while_it_gives_a_key_back(fleet):
+def test_draining_agent_waits_until_a_key_is_released(fleet):
     # A draining agent refuses a queued booking and releases its key. If it
     # exited before the key is free, the caller's next attempt would find the
     # key held by an agent that has since restarted, and the caller would be
     # told that the outcome is unknown although nothing ran.
     agent = fleet.agents[0]
-    go_on = gevent.event.Event()
+    resume = gevent.event.Event()
     submit = agent.claims._submit
-    agent.claims._submit = lambda batcher, claim: go_on.wait()
+    agent.claims._submit = lambda batcher, claim: resume.wait()
     attempt = attempt_message.Attempt(
         attempt_id="a1",
         request_id="r1",
@@ -156,6 +156,6 @@
     gevent.sleep(0.2)
     assert not drained.dead
     agent.claims._submit = submit
-    go_on.set()
+    resume.set()
     drained.get(timeout=5)
     assert agent.is_idle()
--- a/packages/daisypick_node/tests/test_cold_start.py
+++ b/packages/daisypick_node/tests/test_cold_start.py
@@ -24,10 +24,10 @@
 
     def __init__(self):
         self.boot_id = "first"
-        self.go_on = gevent.event.Event()
-        self.go_on.set()
+        self.resume = gevent.event.Event()
+        self.resume.set()
         self.running = 0
-        self.most_running = 0
+        self.max_running = 0
 
     def __call__(self, environ, start_response):
         start_response(
@@ -38,9 +38,9 @@
             ],
         )
         self.running += 1
-        self.most_running = max(self.most_running, self.running)
+        self.max_running = max(self.max_running, self.running)
         yield b"data: one\n\n"
-        self.go_on.wait()
+        self.resume.wait()
         self.running -= 1
         yield b"data: [DONE]\n\n"
 
@@ -49,7 +49,7 @@
     return fleet.call("POST", fleet_module.CHAT, fleet_module.BODY).read()
 
 
-def test_restarted_server_gets_its_cold_load_at_once(make_fleet):
+def test_restarted_server_gets_its_cold_limit_at_once(make_fleet):
     # A warm server of four slots restarts, which only its new boot id
     # indicates. Eight requests arrive while the first response after the
     # restart is in progress: no more than the two requests that a cold server
@@ -61,13 +61,13 @@
         chat(fleet)
     assert gate.limit.limit == 4
     answer.boot_id = "second"
-    answer.go_on.clear()
-    answer.most_running = 0
+    answer.resume.clear()
+    answer.max_running = 0
     calls = [gevent.spawn(chat, fleet)]
     fleet_module.wait_until(lambda: gate.limit.is_cold)
     assert gate.limit.limit == 2
     calls += [gevent.spawn(chat, fleet) for _ in range(8)]
     fleet_module.wait_until(lambda: gate.load().waiting >= 2)
-    assert answer.most_running <= 2
-    answer.go_on.set()
+    assert answer.max_running <= 2
+    answer.resume.set()
     assert {call.get() for call in calls} == {b"data: one\n\ndata: [DONE]\n\n"}
--- a/packages/daisypick_node/tests/test_configuration_service.py
+++ b/packages/daisypick_node/tests/test_configuration_service.py
@@ -88,7 +88,7 @@
         node.stop()
 
 
-def make_answer(generation, packs=()):
+def make_response(generation, packs=()):
     configuration = sections.make_configuration(
         generation,
         {"data_centres": {"sofia": model.DataCentre("sofia", str(generation))}},
@@ -102,13 +102,13 @@
 
 def store(platform, generation):
     pack = configuration_store.pack_name(generation, "c", 0)
-    answer = make_answer(generation, packs=(pack,))
+    answer = make_response(generation, packs=(pack,))
     kind, name = configuration_store.KIND, configuration_store.ROOT
     chunk_data = wire.encode_chunks(answer.chunk_by_hash)
     platform.store.put(kind, pack, chunk_data, if_version=None)
-    held = platform.store.get(kind, name)
+    current = platform.store.get(kind, name)
     value = root_object.encode_root(answer.root)
-    version = held.version if held else None
+    version = current.version if current else None
     platform.store.put(kind, name, value, if_version=version)
 
 
@@ -122,7 +122,7 @@
     return lambda: all(node.generation == generation for node in nodes)
 
 
-def test_change_in_the_store_comes_in_force_everywhere(platform, nodes):
+def test_stored_change_takes_effect_at_all_nodes(platform, nodes):
     assert all(not node.installed for node in nodes)
     for generation in (1, 2):
         store(platform, generation)
@@ -141,7 +141,7 @@
     wait_until(all_at(nodes, 1))
     platform.set_faults(faults.Faults(outage=faults.UNAVAILABLE))
     operator = peers_module.Peers(fleet_key="operator-key", timeout=1.0)
-    offer = wire.encode_response(make_answer(2))
+    offer = wire.encode_response(make_response(2))
     answer = operator.call(
         nodes[0].address,
         "POST",
@@ -152,21 +152,21 @@
     wait_until(all_at(nodes, 2))
 
 
-def test_restart_during_an_outage_takes_the_peers_configuration(
-    platform, nodes
-):
+def test_start_during_an_outage_uses_the_peers_configuration(platform, nodes):
     # A node starts without a configuration while the store is unavailable. It
     # must get it from its peers and never serve with an older generation.
     store(platform, 3)
     wait_until(all_at(nodes, 3))
     platform.set_faults(faults.Faults(outage=faults.UNAVAILABLE))
-    late = Node(platform, [node.address for node in nodes])
-    wait_until(lambda: late.generation == 3)
-    assert [one.generation for one in late.installed] == [3]
-    late.stop()
+    late_node = Node(platform, [node.address for node in nodes])
+    wait_until(lambda: late_node.generation == 3)
+    assert [one.generation for one in late_node.installed] == [3]
+    late_node.stop()
 
 
-def test_contact_without_an_address_holds_nothing_up(platform, nodes):
+def test_contact_with_an_invalid_address_does_not_delay_changes(
+    platform, nodes
+):
     # A message reports a higher generation at a peer with an invalid address.
     # If the call terminated its greenlet with an exception, the next
     # generation would be delayed until a timeout.
--- a/packages/daisypick_node/tests/test_idle_notifier.py
+++ b/packages/daisypick_node/tests/test_idle_notifier.py
@@ -22,10 +22,10 @@
     # agent joins without knowing of them and announces that it is idle. The
     # first agent must redirect the router to it, so that the requests run
     # while the engine of the first agent is still blocked.
-    go_on = gevent.event.Event()
+    resume = gevent.event.Event()
 
     def _held(environ, start_response):
-        go_on.wait()
+        resume.wait()
         start_response("200 OK", [("Content-Type", "text/event-stream")])
         return [b"data: held\n\ndata: [DONE]\n\n"]
 
@@ -44,6 +44,6 @@
     fleet.configure()
     fleet_module.wait_until(lambda: len(fleet.engines[1].calls) == 2)
     assert fleet.agents[0].gate.load().waiting == 0
-    go_on.set()
+    resume.set()
     answers = sorted(call.get().read() for call in calls)
     assert [a.split()[1] for a in answers] == [b"held"] * 2 + [b"other"] * 2
--- a/packages/daisypick_node/tests/test_key_retries.py
+++ b/packages/daisypick_node/tests/test_key_retries.py
@@ -22,7 +22,7 @@
     return json.loads(response.read())
 
 
-def test_half_an_answer_is_told_as_a_refusal(fleet):
+def test_truncated_response_is_reported_as_an_error(fleet):
     # The server disconnects in the middle of its response, of which nothing
     # has reached the caller. The caller must receive an error with a code, not
     # a truncated response.
