--- a/packages/daisypick_node/src/daisypick_node/agent/__init__.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/__init__.py
@@ -2,7 +2,7 @@
 
 * ``process``: the process, which composes the modules below.
 * ``driver``: performs the actions of the core gate.
-* ``answers``: responses in progress and retained, by attempt.
+* ``responses``: responses in progress and retained, by attempt.
 * ``runner``: sends one attempt to the backend server.
 * ``usage``: counts the tokens of a response as it streams.
 * ``attempt_routes``: HTTP routes for attempts, called by routers.
--- a/packages/daisypick_node/src/daisypick_node/agent/attempt_routes.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/attempt_routes.py
@@ -22,8 +22,8 @@
 from daisypick_core.messages import load as load_message
 from daisypick_core.results import codes
 from daisypick_core.results import failure as failure_value
-from daisypick_node.agent import answers
 from daisypick_node.agent import driver as driver_module
+from daisypick_node.agent import responses
 from daisypick_node.agent import runner
 from daisypick_node.http import routes
 
@@ -104,28 +104,32 @@
     def _resume(self, call: routes.Call) -> routes.Reply:
         attempt_id = urllib.parse.unquote(call.path[len(ATTEMPTS) + 1 :])
         query = urllib.parse.parse_qs(call.query)
-        answer = self._driver.answers.get(attempt_id)
-        if answer is None:
+        response = self._driver.responses.get(attempt_id)
+        if response is None:
             return routes.reply_failure(
                 failure_value.Failure(
                     code=codes.NOT_FOUND,
                     reason=f"attempt_id: {attempt_id} has no answer here",
                 )
             )
-        return self._stream(answer, int(query.get("from", ["0"])[0]))
+        return self._stream(response, int(query.get("from", ["0"])[0]))
 
-    def _stream(self, answer: answers.Answer, offset: int) -> routes.Reply:
+    def _stream(
+        self, response: responses.AttemptResponse, offset: int
+    ) -> routes.Reply:
         return routes.Reply(
             status=200,
             headers=[("Content-Type", routes.FRAMES)],
-            body=self._follow(answer, offset),
+            body=self._follow(response, offset),
         )
 
-    def _follow(self, answer: answers.Answer, offset: int) -> Iterator[bytes]:
-        answer.reader_count += 1
+    def _follow(
+        self, response: responses.AttemptResponse, offset: int
+    ) -> Iterator[bytes]:
+        response.reader_count += 1
         try:
-            follower = answers.Follower(
-                answer=answer,
+            follower = responses.Follower(
+                response=response,
                 offset=offset,
                 heartbeat_seconds=HEARTBEAT_SECONDS,
                 describe=self._driver.detail,
@@ -133,8 +137,8 @@
             for ready in follower.frames():
                 yield b"".join(map(frame.encode, ready))
         finally:
-            answer.reader_count -= 1
-            answer.last_read_at = self._clock()
+            response.reader_count -= 1
+            response.last_read_at = self._clock()
 
     def _withdraw(self, call: routes.Call) -> routes.Reply:
         naming = _read_naming(call)
--- a/packages/daisypick_node/src/daisypick_node/agent/claim_service.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/claim_service.py
@@ -202,8 +202,8 @@
     ) -> outcomes.Outcome | failure_value.Failure:
         if batcher == self._address:
             return self._submit_locally(claim)
-        answer = self._peers.call(batcher, "POST", CLAIMS, claim)
-        message = peers_module.decode(answer, OutcomeMessage)
+        response = self._peers.call(batcher, "POST", CLAIMS, claim)
+        message = peers_module.decode(response, OutcomeMessage)
         if failure_value.is_failure(message):
             return message
         return _from_message(message)
@@ -213,8 +213,8 @@
     ) -> attempts.AttemptStatus | None:
         if holder.agent == self._address:
             return self._find_status(holder)
-        answer = self._peers.call(holder.agent, "POST", STATUS_QUERY, holder)
-        status = peers_module.decode(answer, StatusMessage)
+        response = self._peers.call(holder.agent, "POST", STATUS_QUERY, holder)
+        status = peers_module.decode(response, StatusMessage)
         if failure_value.is_failure(status):
             return None
         return attempts.AttemptStatus(**status)
--- a/packages/daisypick_node/src/daisypick_node/agent/driver.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/driver.py
@@ -23,9 +23,9 @@
 from daisypick_core.results import failure as failure_value
 from daisypick_node import logs
 from daisypick_node import records
-from daisypick_node.agent import answers
 from daisypick_node.agent import claim_service
 from daisypick_node.agent import response_replay as response_replay_module
+from daisypick_node.agent import responses
 from daisypick_node.agent import runner as runner_module
 
 _log = logs.PartLog("agent.driver")
@@ -37,7 +37,7 @@
 
     Attributes:
         gate: The core's gate.
-        answers: Responses by attempt.
+        responses: Responses by attempt.
         server: ``host:port`` of the backend server.
     """
 
@@ -45,7 +45,7 @@
         self,
         *,
         gate: core_gate.Gate,
-        store: answers.AnswerStore,
+        store: responses.ResponseStore,
         runner: runner_module.Runner,
         claims: claim_service.ClaimService,
         response_replay: response_replay_module.ResponseReplay,
@@ -54,7 +54,7 @@
         record: records.RequestRecord,
     ) -> None:
         self.gate = gate
-        self.answers = store
+        self.responses = store
         self.server = server
         self._runner = runner
         self._claims = claims
@@ -70,22 +70,22 @@
         """Return the load to send with response frames."""
         return frame.Detail(load=self.gate.load())
 
-    def offer(self, work: runner_module.Work) -> answers.Answer:
+    def offer(self, work: runner_module.Work) -> responses.AttemptResponse:
         """Accept an attempt; return its response, which may be incomplete."""
         attempt_id = work.attempt.attempt_id
         now = self._clock()
         is_new = self.gate.attempts.state(attempt_id) is None
         if is_new:
-            self.answers.get_or_make(attempt_id).last_read_at = now
+            self.responses.get_or_make(attempt_id).last_read_at = now
             self._work_by_attempt[attempt_id] = work
             self._note(work.attempt.request_id, "offered", attempt_id)
         due = self.gate.offer(work.attempt, now)
-        if not due and self.answers.get(attempt_id) is None:
+        if not due and self.responses.get(attempt_id) is None:
             # A duplicate offer of an attempt whose response was dropped. A
             # new response would never end and would be checked for ever.
-            return answers.make_dropped(now)
+            return responses.make_dropped(now)
         self.perform(due)
-        return self.answers.get_or_make(attempt_id)
+        return self.responses.get_or_make(attempt_id)
 
     def withdraw(
         self, attempt_id: str, *, epoch: int
@@ -111,8 +111,8 @@
         """Process timeouts of the gate; cancel attempts without a reader."""
         now = self._clock()
         self.perform(self.gate.tick(now))
-        self.answers.drop_old(now)
-        for attempt_id in self.answers.find_abandoned(now, ABANDON_SECONDS):
+        self.responses.drop_old(now)
+        for attempt_id in self.responses.find_abandoned(now, ABANDON_SECONDS):
             # The router disconnected and did not resume its stream. If they
             # were not cancelled, its requests would occupy slots until their
             # end although no caller receives the responses.
@@ -130,11 +130,11 @@
     def start(self, attempt_id: str) -> None:
         """Send an attempt to the backend server."""
         work = self._work_by_attempt.pop(attempt_id)
-        answer = self.answers.get_or_make(attempt_id)
-        answer.start()
+        response = self.responses.get_or_make(attempt_id)
+        response.start()
         self._note(work.attempt.request_id, "started", attempt_id)
         self._scheduled_by_attempt[attempt_id] = work
-        greenlet = gevent.spawn(self._run, work, answer)
+        greenlet = gevent.spawn(self._run, work, response)
         self._greenlet_by_attempt[attempt_id] = greenlet
 
     def refuse(self, attempt_id: str, failure: failure_value.Failure) -> None:
@@ -143,24 +143,24 @@
         If another attempt holds its key, copy that response instead.
         """
         work = self._work_by_attempt.pop(attempt_id, None)
-        answer = self.answers.get_or_make(attempt_id)
-        if answer.is_over:
+        response = self.responses.get_or_make(attempt_id)
+        if response.is_over:
             return
         holder = self._holder_by_attempt.pop(attempt_id, None)
         if holder is not None:
-            gevent.spawn(self._copy, attempt_id, holder, answer, failure)
+            gevent.spawn(self._copy, attempt_id, holder, response, failure)
             return
-        answer.fail(failure, self._clock())
-        self.answers.note_finished(attempt_id, self._clock())
+        response.fail(failure, self._clock())
+        self.responses.note_finished(attempt_id, self._clock())
         if work is not None:
             request_id = work.attempt.request_id
             self._note(request_id, f"refused: {failure.reason}", attempt_id)
 
     def hint(self, action: actions.Hint) -> None:
         """Report an idle agent to the readers of an attempt."""
-        answer = self.answers.get(action.attempt.attempt_id)
-        if answer is not None:
-            answer.hint(answers.Hint(agent=action.agent, load=action.load))
+        response = self.responses.get(action.attempt.attempt_id)
+        if response is not None:
+            response.hint(responses.Hint(agent=action.agent, load=action.load))
 
     def note_idle(self, peer: str, load: load_message.Load) -> None:
         """Record that a peer is idle."""
@@ -185,7 +185,7 @@
             # A greenlet killed before its first step never runs its cleanup:
             # the slot would stay occupied until the agent restarts.
             del self._greenlet_by_attempt[attempt_id]
-            self._cancelled(work, self.answers.get_or_make(attempt_id))
+            self._cancelled(work, self.responses.get_or_make(attempt_id))
 
     def _claim(self, action: actions.Claim) -> None:
         attempt_id = action.attempt.attempt_id
@@ -200,44 +200,46 @@
         self,
         attempt_id: str,
         holder: claim_entry.Entry,
-        answer: answers.Answer,
+        response: responses.AttemptResponse,
         fallback: failure_value.Failure,
     ) -> None:
         """Copy the response of the attempt that holds the key."""
-        self._response_replay.copy(holder, answer, fallback)
-        self.answers.note_finished(attempt_id, self._clock())
+        self._response_replay.copy(holder, response, fallback)
+        self.responses.note_finished(attempt_id, self._clock())
 
-    def _run(self, work: runner_module.Work, answer: answers.Answer) -> None:
+    def _run(
+        self, work: runner_module.Work, response: responses.AttemptResponse
+    ) -> None:
         attempt_id = work.attempt.attempt_id
         self._scheduled_by_attempt.pop(attempt_id, None)
         outcome = _CANCELLED
         try:
-            outcome = self._runner.run(work, self.server, answer)
+            outcome = self._runner.run(work, self.server, response)
         except gevent.GreenletExit:
-            answer.fail(_cancelled_failure(), self._clock())
+            response.fail(_cancelled_failure(), self._clock())
         finally:
             self._greenlet_by_attempt.pop(attempt_id, None)
-            self._end(work, answer, outcome)
+            self._end(work, response, outcome)
 
     def _cancelled(
-        self, work: runner_module.Work, answer: answers.Answer
+        self, work: runner_module.Work, response: responses.AttemptResponse
     ) -> None:
-        answer.fail(_cancelled_failure(), self._clock())
-        self._end(work, answer, _CANCELLED)
+        response.fail(_cancelled_failure(), self._clock())
+        self._end(work, response, _CANCELLED)
 
     def _end(
         self,
         work: runner_module.Work,
-        answer: answers.Answer,
+        response: responses.AttemptResponse,
         outcome: runner_module.Outcome,
     ) -> None:
         now = self._clock()
-        if not answer.is_over:
-            answer.fail(_internal_failure(), now)
+        if not response.is_over:
+            response.fail(_internal_failure(), now)
         attempt_id = work.attempt.attempt_id
-        self.answers.note_finished(attempt_id, now)
+        self.responses.note_finished(attempt_id, now)
         self._note(work.attempt.request_id, "ended", attempt_id)
-        has_run = not _was_not_delivered(answer)
+        has_run = not _was_not_delivered(response)
         self.perform(
             self.gate.finish(
                 attempt_id,
@@ -293,9 +295,9 @@
     driver.stop(action.attempt.attempt_id)
 
 
-def _was_not_delivered(answer: answers.Answer) -> bool:
+def _was_not_delivered(response: responses.AttemptResponse) -> bool:
     """Return whether the attempt certainly did not reach the server."""
-    failure = answer.failure
+    failure = response.failure
     return failure is not None and failure.code == codes.ENGINE_UNREACHABLE
 
 
--- a/packages/daisypick_node/src/daisypick_node/agent/process.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/process.py
@@ -13,12 +13,12 @@
 from daisypick_core.gate import gate as core_gate
 from daisypick_node import process
 from daisypick_node import settings as settings_module
-from daisypick_node.agent import answers
 from daisypick_node.agent import attempt_routes
 from daisypick_node.agent import claim_service
 from daisypick_node.agent import driver as driver_module
 from daisypick_node.agent import idle_notifier
 from daisypick_node.agent import response_replay
+from daisypick_node.agent import responses
 from daisypick_node.agent import runner
 from daisypick_node.agent import tally_service
 from daisypick_node.http import client
@@ -75,7 +75,7 @@
         self._apply_drain_state()
 
     def _make_driver(self) -> driver_module.GateDriver:
-        store = answers.AnswerStore(
+        store = responses.ResponseStore(
             keep_seconds=self.settings.keep_answer_seconds,
             keep_bytes=self.settings.keep_answer_bytes,
         )
@@ -189,7 +189,7 @@
         """Return whether no attempt, reader or key release is pending."""
         return (
             self.gate.running_count == 0
-            and not self.driver.answers.has_readers()
+            and not self.driver.responses.has_readers()
             and self.claims.is_idle()
         )
 
--- a/packages/daisypick_node/src/daisypick_node/agent/response_replay.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/response_replay.py
@@ -17,7 +17,7 @@
 from daisypick_core.messages import frame
 from daisypick_core.results import codes
 from daisypick_core.results import failure as failure_value
-from daisypick_node.agent import answers
+from daisypick_node.agent import responses
 from daisypick_node.http import client
 
 ATTEMPTS = "/internal/attempts"
@@ -31,7 +31,7 @@
     def __init__(
         self,
         *,
-        store: answers.AnswerStore,
+        store: responses.ResponseStore,
         pool: client.ClientPool,
         fleet_key: str,
         clock: Callable[[], float],
@@ -44,43 +44,43 @@
     def copy(
         self,
         holder: claim_entry.Entry,
-        answer: answers.Answer,
+        response: responses.AttemptResponse,
         fallback: failure_value.Failure,
     ) -> None:
-        """Copy the holder's response to ``answer``.
+        """Copy the holder's response to ``response``.
 
-        If the holder did not run, fail ``answer`` with ``fallback``.
+        If the holder did not run, fail ``response`` with ``fallback``.
         """
-        failure = self._copy(holder, answer, fallback)
+        failure = self._copy(holder, response, fallback)
         if failure is not None:
-            answer.fail(failure, self._clock())
+            response.fail(failure, self._clock())
 
     def _copy(
         self,
         holder: claim_entry.Entry,
-        answer: answers.Answer,
+        response: responses.AttemptResponse,
         fallback: failure_value.Failure,
     ) -> failure_value.Failure | None:
         stored = self._store.get(holder.attempt_id)
         if stored is not None:
-            frames = _local_frames(stored, len(answer.data))
-            return self._copy_frames(frames, answer, fallback)
+            frames = _local_frames(stored, len(response.data))
+            return self._copy_frames(frames, response, fallback)
         for pause in RESUME_PAUSES:
             gevent.sleep(pause)
             try:
-                response = self._request(holder, len(answer.data))
+                http_response = self._request(holder, len(response.data))
             except client.CALL_ERRORS:
                 continue
-            if response.status_code != 200:
-                client.abandon(response)
+            if http_response.status_code != 200:
+                client.abandon(http_response)
                 return _unknown("agent: the answer is no longer kept")
             try:
-                frames = _remote_frames(response)
-                return self._copy_frames(frames, answer, fallback)
+                frames = _remote_frames(http_response)
+                return self._copy_frames(frames, response, fallback)
             except (*client.CALL_ERRORS, EOFError, msgspec.MsgspecError):
                 self._pool.forget(holder.agent)
             finally:
-                client.abandon(response)
+                client.abandon(http_response)
         return _unknown("agent: the answer's holder cannot be reached")
 
     def _request(
@@ -97,7 +97,7 @@
     def _copy_frames(
         self,
         frames: Iterator[frame.Frame],
-        answer: answers.Answer,
+        response: responses.AttemptResponse,
         fallback: failure_value.Failure,
     ) -> failure_value.Failure | None:
         """Copy frames up to the last one; return a failure if there is one.
@@ -106,22 +106,24 @@
             EOFError: The frames end before the last one.
         """
         for part in frames:
-            if part.kind == frame.HEAD and answer.head is None:
-                answer.start()
-                answer.set_head(_head(part))
+            if part.kind == frame.HEAD and response.head is None:
+                response.start()
+                response.set_head(_head(part))
             elif part.kind == frame.DATA:
-                answer.append(part.data)
+                response.append(part.data)
             elif part.kind == frame.END:
-                answer.finish(answers.Usage(), self._clock())
+                response.finish(responses.Usage(), self._clock())
                 return None
             elif part.kind == frame.REFUSED:
                 return _refusal(part, fallback)
         raise EOFError("frames")
 
 
-def _local_frames(stored: answers.Answer, offset: int) -> Iterator[frame.Frame]:
-    follower = answers.Follower(
-        answer=stored,
+def _local_frames(
+    stored: responses.AttemptResponse, offset: int
+) -> Iterator[frame.Frame]:
+    follower = responses.Follower(
+        response=stored,
         offset=offset,
         heartbeat_seconds=HEARTBEAT_SECONDS,
         describe=lambda: frame.Detail(),
@@ -134,16 +136,16 @@
         stored.reader_count -= 1
 
 
-def _remote_frames(response: client.Response) -> Iterator[frame.Frame]:
+def _remote_frames(http_response: client.Response) -> Iterator[frame.Frame]:
     rest = b""
-    while data := client.read_available(response):
+    while data := client.read_available(http_response):
         parts, rest = frame.decode_lines(rest + data)
         yield from parts
 
 
-def _head(part: frame.Frame) -> answers.Head:
+def _head(part: frame.Frame) -> responses.Head:
     assert part.detail is not None
-    return answers.Head(
+    return responses.Head(
         status=part.detail["status"], headers=part.detail["headers"]
     )
 
--- a/packages/daisypick_node/src/daisypick_node/agent/answers.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/responses.py
@@ -41,7 +41,7 @@
     load: load_message.Load
 
 
-class Answer:
+class AttemptResponse:
     """The response to one attempt, appended to while it streams.
 
     Attributes:
@@ -116,69 +116,70 @@
         self.notify()
 
 
-def make_dropped(now: float) -> Answer:
+def make_dropped(now: float) -> AttemptResponse:
     """Return a failed response for an attempt whose response was dropped."""
-    answer = Answer()
-    answer.fail(
+    response = AttemptResponse()
+    response.fail(
         failure_value.Failure(
             code=codes.OUTCOME_UNKNOWN, reason="answer: is no longer kept"
         ),
         now,
     )
-    return answer
+    return response
 
 
-class AnswerStore:
+class ResponseStore:
     """Responses by attempt id, bounded in age and memory."""
 
     def __init__(self, *, keep_seconds: float, keep_bytes: int) -> None:
         self._keep_seconds = keep_seconds
         self._keep_bytes = keep_bytes
-        self._answer_by_attempt: dict[str, Answer] = {}
+        self._response_by_attempt: dict[str, AttemptResponse] = {}
         self._open_ids: set[str] = set()
         self._finished_ids: collections.deque[str] = collections.deque()
         self._kept_bytes = 0
 
-    def get(self, attempt_id: str) -> Answer | None:
+    def get(self, attempt_id: str) -> AttemptResponse | None:
         """Return the response to an attempt, ``None`` if it is not stored."""
-        return self._answer_by_attempt.get(attempt_id)
+        return self._response_by_attempt.get(attempt_id)
 
-    def get_or_make(self, attempt_id: str) -> Answer:
+    def get_or_make(self, attempt_id: str) -> AttemptResponse:
         """Return the response to an attempt; create it if it is missing."""
-        answer = self._answer_by_attempt.get(attempt_id)
-        if answer is None:
-            answer = self._answer_by_attempt[attempt_id] = Answer()
+        response = self._response_by_attempt.get(attempt_id)
+        if response is None:
+            response = self._response_by_attempt[attempt_id] = AttemptResponse()
             self._open_ids.add(attempt_id)
-        return answer
+        return response
 
     def note_finished(self, attempt_id: str, now: float) -> None:
         """Record a finished response and drop those beyond the limits."""
-        answer = self._answer_by_attempt.get(attempt_id)
-        if answer is None:
+        response = self._response_by_attempt.get(attempt_id)
+        if response is None:
             return
         self._open_ids.discard(attempt_id)
         self._finished_ids.append(attempt_id)
-        self._kept_bytes += len(answer.data)
+        self._kept_bytes += len(response.data)
         self.drop_old(now)
 
     def drop_old(self, now: float) -> None:
         """Drop finished responses beyond the age or memory limit."""
         while self._finished_ids:
             attempt_id = self._finished_ids[0]
-            answer = self._answer_by_attempt[attempt_id]
-            is_old = now - (answer.finished_at or now) > self._keep_seconds
+            response = self._response_by_attempt[attempt_id]
+            is_old = now - (response.finished_at or now) > self._keep_seconds
             if not is_old and self._kept_bytes <= self._keep_bytes:
                 return
-            if answer.reader_count and not is_old:
+            if response.reader_count and not is_old:
                 return
             self._finished_ids.popleft()
-            self._kept_bytes -= len(answer.data)
-            del self._answer_by_attempt[attempt_id]
+            self._kept_bytes -= len(response.data)
+            del self._response_by_attempt[attempt_id]
 
     def has_readers(self) -> bool:
         """Return whether any response is being read."""
         return any(
-            answer.reader_count for answer in self._answer_by_attempt.values()
+            response.reader_count
+            for response in self._response_by_attempt.values()
         )
 
     def find_abandoned(self, now: float, grace: float) -> list[str]:
@@ -187,14 +188,16 @@
             attempt_id
             for attempt_id in self._open_ids
             if self._is_abandoned(
-                self._answer_by_attempt[attempt_id], now, grace
+                self._response_by_attempt[attempt_id], now, grace
             )
         ]
 
-    def _is_abandoned(self, answer: Answer, now: float, grace: float) -> bool:
-        if answer.is_over or answer.reader_count:
+    def _is_abandoned(
+        self, response: AttemptResponse, now: float, grace: float
+    ) -> bool:
+        if response.is_over or response.reader_count:
             return False
-        return now - answer.last_read_at > grace
+        return now - response.last_read_at > grace
 
 
 class Follower:
@@ -209,12 +212,12 @@
     def __init__(
         self,
         *,
-        answer: Answer,
+        response: AttemptResponse,
         offset: int,
         heartbeat_seconds: float,
         describe: Callable[[], frame.Detail],
     ) -> None:
-        self._answer = answer
+        self._response = response
         self._offset = offset
         self._heartbeat_seconds = heartbeat_seconds
         self._describe = describe
@@ -233,35 +236,37 @@
             ready = []
             if self._has_more():
                 continue
-            if not self._answer.wait(self._heartbeat_seconds):
+            if not self._response.wait(self._heartbeat_seconds):
                 ready = [frame.Frame(kind=frame.HEARTBEAT)]
 
     def _has_more(self) -> bool:
         """Return whether data arrived while the last frames were sent."""
-        answer = self._answer
-        has_data = answer.head is not None and len(answer.data) > self._offset
-        return has_data or answer.is_over
+        response = self._response
+        has_data = (
+            response.head is not None and len(response.data) > self._offset
+        )
+        return has_data or response.is_over
 
     def _ready_frames(self) -> list[frame.Frame]:
-        answer = self._answer
-        ready = [_hint_frame(hint) for hint in answer.hints]
-        answer.hints.clear()
-        if answer.is_started and not self._has_started:
+        response = self._response
+        ready = [_hint_frame(hint) for hint in response.hints]
+        response.hints.clear()
+        if response.is_started and not self._has_started:
             self._has_started = True
             ready.append(
                 frame.Frame(kind=frame.STARTED, detail=self._describe())
             )
-        if answer.head is not None and not self._has_head:
+        if response.head is not None and not self._has_head:
             self._has_head = True
-            ready.append(_head_frame(answer.head))
-        if self._has_head and len(answer.data) > self._offset:
-            data = bytes(answer.data[self._offset :])
+            ready.append(_head_frame(response.head))
+        if self._has_head and len(response.data) > self._offset:
+            data = bytes(response.data[self._offset :])
             ready.append(
                 frame.Frame(kind=frame.DATA, offset=self._offset, data=data)
             )
             self._offset += len(data)
-        if answer.is_over:
-            ready.append(_last_frame(answer, self._describe()))
+        if response.is_over:
+            ready.append(_last_frame(response, self._describe()))
         return ready
 
 
@@ -275,16 +280,16 @@
     return frame.Frame(kind=frame.HEARTBEAT, detail=detail)
 
 
-def _last_frame(answer: Answer, detail: frame.Detail) -> frame.Frame:
-    if answer.usage is not None:
-        detail["prompt_tokens"] = answer.usage.prompt_tokens
-        detail["completion_tokens"] = answer.usage.completion_tokens
-        detail["size"] = len(answer.data)
+def _last_frame(response: AttemptResponse, detail: frame.Detail) -> frame.Frame:
+    if response.usage is not None:
+        detail["prompt_tokens"] = response.usage.prompt_tokens
+        detail["completion_tokens"] = response.usage.completion_tokens
+        detail["size"] = len(response.data)
         return frame.Frame(
-            kind=frame.END, offset=len(answer.data), detail=detail
+            kind=frame.END, offset=len(response.data), detail=detail
         )
-    assert answer.failure is not None
-    detail["code"] = answer.failure.code.number
-    detail["reason"] = answer.failure.reason
-    detail["retry_after"] = answer.failure.retry_after
+    assert response.failure is not None
+    detail["code"] = response.failure.code.number
+    detail["reason"] = response.failure.reason
+    detail["retry_after"] = response.failure.retry_after
     return frame.Frame(kind=frame.REFUSED, detail=detail)
--- a/packages/daisypick_node/src/daisypick_node/agent/runner.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/runner.py
@@ -1,8 +1,8 @@
 """Sends one attempt to the backend server.
 
-The request is sent once. Its response is appended to an ``answers.Answer`` as
-it arrives. Tokens that arrive within ``gather_seconds`` are read together,
-which needs one loop step instead of one for each token.
+The request is sent once. The server's response is appended to an
+``AttemptResponse`` as it arrives. Tokens that arrive within ``gather_seconds``
+are read together, which needs one loop step instead of one for each token.
 """
 
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 from daisypick_core.messages import attempt as attempt_message
 from daisypick_core.results import codes
 from daisypick_core.results import failure as failure_value
-from daisypick_node.agent import answers
+from daisypick_node.agent import responses
 from daisypick_node.agent import usage as usage_module
 from daisypick_node.http import client
 
@@ -78,43 +78,45 @@
         self._note_progress = note_progress
         self._note_boot = note_boot
 
-    def run(self, work: Work, server: str, answer: answers.Answer) -> Outcome:
-        """Call the backend server and fill ``answer`` with its response."""
+    def run(
+        self, work: Work, server: str, response: responses.AttemptResponse
+    ) -> Outcome:
+        """Call the backend server and copy its response to ``response``."""
         started_at = self._clock()
         try:
-            response = self._send(work, server)
+            http_response = self._send(work, server)
         except client.CALL_ERRORS as error:
             self._pool.forget(server)
-            return self._fail(answer, _call_failure(error))
+            return self._fail(response, _call_failure(error))
         except ValueError as error:
             # The HTTP client could not build the request: nothing was sent,
             # and the agent of any other server would fail in the same way.
-            return self._fail(answer, _invalid_call_failure(error))
+            return self._fail(response, _invalid_call_failure(error))
         first_byte_at = None
         try:
-            boot_id = str(response.get(BOOT_ID, ""))
+            boot_id = str(http_response.get(BOOT_ID, ""))
             if boot_id:
                 self._note_boot(boot_id)
-            if _is_retried_elsewhere(work.attempt, response.status_code):
-                return self._fail(answer, _engine_failure(response))
-            meter = self._start_response(answer, response)
-            while data := client.read_available(response):
+            if _is_retried_elsewhere(work.attempt, http_response.status_code):
+                return self._fail(response, _engine_failure(http_response))
+            meter = self._start_response(response, http_response)
+            while data := client.read_available(http_response):
                 first_byte_at = first_byte_at or self._clock()
                 meter.feed(data)
-                answer.append(data)
+                response.append(data)
                 self._note_progress(
                     work.attempt.attempt_id, meter.streamed_tokens
                 )
-                if not response.message_complete:
+                if not http_response.message_complete:
                     gevent.sleep(self._gather_seconds)
         except client.CALL_ERRORS as error:
-            return self._fail(answer, _broken_failure(error))
+            return self._fail(response, _broken_failure(error))
         finally:
-            client.abandon(response)
+            client.abandon(http_response)
         if not meter.has_end_mark():
-            return self._fail(answer, _broken_failure(None))
+            return self._fail(response, _broken_failure(None))
         return self._finish(
-            answer, meter, (first_byte_at or started_at) - started_at
+            response, meter, (first_byte_at or started_at) - started_at
         )
 
     def _send(self, work: Work, server: str) -> client.Response:
@@ -125,31 +127,33 @@
         )
 
     def _start_response(
-        self, answer: answers.Answer, response: client.Response
+        self,
+        response: responses.AttemptResponse,
+        http_response: client.Response,
     ) -> usage_module.UsageMeter:
         headers = [
             (name, value)
-            for name, value in response.headers
+            for name, value in http_response.headers
             if name.lower() not in _HOP_HEADERS
         ]
-        answer.set_head(
-            answers.Head(status=response.status_code, headers=headers)
+        response.set_head(
+            responses.Head(status=http_response.status_code, headers=headers)
         )
-        content_type = str(response.get("content-type", ""))
+        content_type = str(http_response.get("content-type", ""))
         return usage_module.UsageMeter(
             is_stream=content_type.startswith(_STREAM_TYPE)
         )
 
     def _finish(
         self,
-        answer: answers.Answer,
+        response: responses.AttemptResponse,
         meter: usage_module.UsageMeter,
         first_byte_seconds: float,
     ) -> Outcome:
-        usage = meter.total(bytes(answer.data))
-        assert answer.head is not None
-        is_healthy = answer.head.status < _SERVER_FAULT
-        answer.finish(usage, self._clock())
+        usage = meter.total(bytes(response.data))
+        assert response.head is not None
+        is_healthy = response.head.status < _SERVER_FAULT
+        response.finish(usage, self._clock())
         return Outcome(
             cost=float(usage.prompt_tokens + usage.completion_tokens),
             is_healthy=is_healthy,
@@ -158,10 +162,10 @@
 
     def _fail(
         self,
-        answer: answers.Answer,
+        response: responses.AttemptResponse,
         failure: failure_value.Failure,
     ) -> Outcome:
-        answer.fail(failure, self._clock())
+        response.fail(failure, self._clock())
         return Outcome(
             cost=0.0,
             is_healthy=False,
@@ -181,10 +185,10 @@
     return attempt.is_repeatable and status >= _SERVER_FAULT
 
 
-def _engine_failure(response: client.Response) -> failure_value.Failure:
+def _engine_failure(http_response: client.Response) -> failure_value.Failure:
     return failure_value.Failure(
         code=codes.ENGINE_FAILED,
-        reason=f"backend server: status {response.status_code}",
+        reason=f"backend server: status {http_response.status_code}",
     )
 
 
--- a/packages/daisypick_node/src/daisypick_node/agent/tally_service.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/tally_service.py
@@ -151,15 +151,15 @@
 
     def _send(self, node: tally_node.TallyNode, send: tally_node.Send) -> None:
         if isinstance(send.report, reports.AgentReport):
-            path, answer_type = AGENT, reports.AgentResponse
+            path, response_type = AGENT, reports.AgentResponse
         else:
-            path, answer_type = RELAY, reports.RelayResponse
+            path, response_type = RELAY, reports.RelayResponse
         data = self._peers.call(send.address, "POST", path, send.report)
-        answer = peers_module.decode(data, answer_type)
-        if failure_value.is_failure(answer):
+        response = peers_module.decode(data, response_type)
+        if failure_value.is_failure(response):
             node.failed(send.address, self._clock())
         else:
-            node.answered(send.address, answer, self._clock())
+            node.answered(send.address, response, self._clock())
 
     def _serve_agent(self, call: routes.Call) -> routes.Reply:
         return self._serve(call, reports.AgentReport)
--- a/packages/daisypick_node/src/daisypick_node/agent/usage.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/usage.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from daisypick_node.agent import answers
+from daisypick_node.agent import responses
 
 _EVENT_MARK = b"data: "
 _DONE = b"data: [DONE]"
@@ -49,7 +49,7 @@
         self._event_count += data.count(_EVENT_MARK)
         self._tail = (self._tail + data)[-_TAIL_BYTES:]
 
-    def total(self, body: bytes) -> answers.Usage:
+    def total(self, body: bytes) -> responses.Usage:
         """Return the token counts of the complete response."""
         document = self._last_event() if self._is_stream else bytes(body)
         try:
@@ -57,8 +57,8 @@
         except msgspec.MsgspecError:
             usage = None
         if not usage:
-            return answers.Usage(completion_tokens=max(1, self._event_count))
-        return answers.Usage(
+            return responses.Usage(completion_tokens=max(1, self._event_count))
+        return responses.Usage(
             prompt_tokens=usage.get("prompt_tokens", 0),
             completion_tokens=usage.get("completion_tokens", 0),
         )
--- a/packages/daisypick_node/src/daisypick_node/configuration_routes.py
+++ b/packages/daisypick_node/src/daisypick_node/configuration_routes.py
@@ -107,10 +107,10 @@
         body = call.read_body()
         if failure_value.is_failure(body):
             return routes.reply_failure(body)
-        answer = wire.decode_response(body)
-        if failure_value.is_failure(answer):
-            return routes.reply_failure(answer)
-        self._receive_offer(answer)
+        response = wire.decode_response(body)
+        if failure_value.is_failure(response):
+            return routes.reply_failure(response)
+        self._receive_offer(response)
         return routes.reply_json({"generation": self._holder.generation})
 
 
--- a/packages/daisypick_node/src/daisypick_node/configuration_service.py
+++ b/packages/daisypick_node/src/daisypick_node/configuration_service.py
@@ -160,9 +160,11 @@
         if isinstance(action, actions.Notify):
             self._notify(action.peer)
         elif isinstance(action, actions.FetchRoot):
-            answer = self._fetch_root(action)
-            self._note_outcome(action.source, answer)
-            due = self.holder.receive_root(action.source, answer, self._clock())
+            response = self._fetch_root(action)
+            self._note_outcome(action.source, response)
+            due = self.holder.receive_root(
+                action.source, response, self._clock()
+            )
             self._perform(due)
         elif isinstance(action, actions.FetchChunks):
             chunk_by_hash = self._fetch_chunks(action)
@@ -233,9 +235,9 @@
                 code=codes.PEER_UNREACHABLE, reason=str(error)
             )
 
-    def _receive_offer(self, answer: wire.RootResponse) -> None:
+    def _receive_offer(self, response: wire.RootResponse) -> None:
         now = self._clock()
-        due = self.holder.receive_root(actions.OPERATOR, answer, now)
+        due = self.holder.receive_root(actions.OPERATOR, response, now)
         self._perform(due)
 
     def _note_outcome(self, source: str, outcome: object) -> None:
@@ -334,8 +336,8 @@
     def _receive_watched_root(self, stored: interface.StoredObject) -> None:
         self._version = stored.version
         decoded = configuration_store.decode_root(stored)
-        answer: wire.RootResponse | failure_value.Failure = decoded
+        response: wire.RootResponse | failure_value.Failure = decoded
         if not failure_value.is_failure(decoded):
-            answer = wire.RootResponse(root=decoded.root, chunk_by_hash={})
+            response = wire.RootResponse(root=decoded.root, chunk_by_hash={})
         now = self._clock()
-        self._perform(self.holder.receive_root(actions.STORE, answer, now))
+        self._perform(self.holder.receive_root(actions.STORE, response, now))
--- a/packages/daisypick_node/src/daisypick_node/vm_watch.py
+++ b/packages/daisypick_node/src/daisypick_node/vm_watch.py
@@ -85,8 +85,8 @@
             self._notify(address)
 
     def _notify(self, address: str) -> None:
-        answer = self._peers.call(address, "POST", LEAVING)
-        if not failure_value.is_failure(answer):
+        response = self._peers.call(address, "POST", LEAVING)
+        if not failure_value.is_failure(response):
             self._notified.add(address)
             _log.say(
                 "Notified a process that its VM is leaving.", address=address
--- a/packages/daisypick_node/tests/agent/test_driver.py
+++ b/packages/daisypick_node/tests/agent/test_driver.py
@@ -28,10 +28,10 @@
     engine = fleet_module.make_engine(fleet_module.answer_stream("a"))
     fleet = fleet_module.Fleet([engine])
     agent = fleet.agents[0]
-    answer = agent.driver.offer(make_work(agent, "x"))
+    response = agent.driver.offer(make_work(agent, "x"))
     assert agent.gate.running_count == 1
     agent.driver.cancel("x")
-    assert (agent.gate.running_count, answer.is_over) == (0, True)
+    assert (agent.gate.running_count, response.is_over) == (0, True)
     fleet.stop()
     assert engine.calls == []
 
@@ -43,9 +43,9 @@
     fleet = fleet_module.Fleet([engine], keep_answer_bytes=1)
     agent = fleet.agents[0]
     first = agent.driver.offer(make_work(agent, "x"))
-    fleet_module.wait_until(lambda: agent.driver.answers.get("x") is None)
+    fleet_module.wait_until(lambda: agent.driver.responses.get("x") is None)
     again = agent.driver.offer(make_work(agent, "x"))
     assert (first.is_over, again.failure.code.number) == (True, 4002)
-    assert agent.driver.answers.get("x") is None
+    assert agent.driver.responses.get("x") is None
     fleet.stop()
     assert len(engine.calls) == 1
--- a/packages/daisypick_node/tests/test_at_most_once.py
+++ b/packages/daisypick_node/tests/test_at_most_once.py
@@ -58,9 +58,9 @@
     calls = [gevent.spawn(book, fleet, router) for router in (0, 1)]
     fleet_module.wait_until(lambda: runs(fleet) == 1)
     desk.resume.set()
-    answers = [call.get(timeout=10) for call in calls]
-    assert [answer.status_code for answer in answers] == [200, 200]
-    assert [answer.read() for answer in answers] == [b"plot 7", b"plot 7"]
+    responses = [call.get(timeout=10) for call in calls]
+    assert [response.status_code for response in responses] == [200, 200]
+    assert [response.read() for response in responses] == [b"plot 7", b"plot 7"]
     assert runs(fleet) == 1
 
 
@@ -123,8 +123,8 @@
     )
     fleet.out = set()
     fleet.configure()
-    answer = call.get(timeout=20)
-    assert (answer.status_code, answer.read()) == (200, b"plot 7")
+    response = call.get(timeout=20)
+    assert (response.status_code, response.read()) == (200, b"plot 7")
     assert runs(fleet) == 1
 
 
--- a/packages/daisypick_node/tests/test_configuration_service.py
+++ b/packages/daisypick_node/tests/test_configuration_service.py
@@ -102,12 +102,12 @@
 
 def store(platform, generation):
     pack = configuration_store.pack_name(generation, "c", 0)
-    answer = make_response(generation, packs=(pack,))
+    response = make_response(generation, packs=(pack,))
     kind, name = configuration_store.KIND, configuration_store.ROOT
-    chunk_data = wire.encode_chunks(answer.chunk_by_hash)
+    chunk_data = wire.encode_chunks(response.chunk_by_hash)
     platform.store.put(kind, pack, chunk_data, if_version=None)
     current = platform.store.get(kind, name)
-    value = root_object.encode_root(answer.root)
+    value = root_object.encode_root(response.root)
     version = current.version if current else None
     platform.store.put(kind, name, value, if_version=version)
 
@@ -142,13 +142,13 @@
     platform.set_faults(faults.Faults(outage=faults.UNAVAILABLE))
     operator = peers_module.Peers(fleet_key="operator-key", timeout=1.0)
     offer = wire.encode_response(make_response(2))
-    answer = operator.call(
+    response = operator.call(
         nodes[0].address,
         "POST",
         configuration_routes.OFFER,
         msgspec.Raw(offer),
     )
-    assert answer == b'{"generation":2}'
+    assert response == b'{"generation":2}'
     wait_until(all_at(nodes, 2))
 
 
--- a/packages/daisypick_node/tests/test_idle_notifier.py
+++ b/packages/daisypick_node/tests/test_idle_notifier.py
@@ -45,5 +45,5 @@
     fleet_module.wait_until(lambda: len(fleet.engines[1].calls) == 2)
     assert fleet.agents[0].gate.load().waiting == 0
     resume.set()
-    answers = sorted(call.get().read() for call in calls)
-    assert [a.split()[1] for a in answers] == [b"held"] * 2 + [b"other"] * 2
+    responses = sorted(call.get().read() for call in calls)
+    assert [a.split()[1] for a in responses] == [b"held"] * 2 + [b"other"] * 2
