--- a/packages/daisypick_node/src/daisypick_node/agent/attempt_routes.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/attempt_routes.py
@@ -1,13 +1,13 @@
-"""What routers ask of the agent about attempts.
+"""HTTP routes of the agent for attempts, called by routers.
 
-* ``POST /internal/attempts``: run this; the answer streams as frames.
-* ``GET /internal/attempts/ID?from=N``: go on with that answer from byte N.
-* ``POST /internal/withdraw``: bar this unless it has started.
-* ``POST /internal/cancel``: nobody waits for this any more.
+* ``POST /internal/attempts``: run an attempt; the response streams as frames.
+* ``GET /internal/attempts/ID?from=N``: resume a response from byte N.
+* ``POST /internal/withdraw``: withdraw an attempt unless it has started.
+* ``POST /internal/cancel``: cancel an attempt that no caller waits for.
 
-Idle agents use one more:
+Idle agents call one more:
 
-* ``POST /internal/idle``: the sender has free slots and nothing waiting.
+* ``POST /internal/idle``: the sender has free slots and an empty queue.
 """
 
 from collections.abc import Callable
@@ -22,8 +22,8 @@
 from daisypick_core.messages import load as load_message
 from daisypick_core.results import codes
 from daisypick_core.results import failure as failure_value
-from daisypick_node.agent import answers
 from daisypick_node.agent import driver as driver_module
+from daisypick_node.agent import responses
 from daisypick_node.agent import runner
 from daisypick_node.http import routes
 
@@ -32,25 +32,25 @@
 WITHDRAW = "/internal/withdraw"
 CANCEL = "/internal/cancel"
 IDLE = "/internal/idle"
-BEAT_SECONDS = 1.0
+HEARTBEAT_SECONDS = 1.0
 
 
 class Naming(typing.TypedDict):
-    """Names an attempt and the epoch that it was sent in."""
+    """Identifies an attempt and the epoch in which it was sent."""
 
     attempt_id: str
     epoch: int
 
 
-class IdleWord(typing.TypedDict):
-    """An agent's word that it has free slots and nothing waiting."""
+class IdleNotice(typing.TypedDict):
+    """Announces that an agent has free slots and an empty queue."""
 
     agent: str
     load: load_message.Load
 
 
 class Status(typing.TypedDict):
-    """What became of an attempt."""
+    """The status of an attempt."""
 
     state: str
     ran: bool
@@ -58,7 +58,7 @@
 
 
 class AttemptRoutes:
-    """Handlers of the agent's attempt routes."""
+    """Handles the agent's attempt routes."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         self._note_contact = note_contact
 
     def handlers(self) -> routes.Routes:
-        """Return the table of handlers."""
+        """Return the handlers by route."""
         return {
             routes.Route("POST", ATTEMPTS): self._offer,
             routes.Route("GET", ATTEMPTS + "/"): self._resume,
@@ -104,37 +104,41 @@
     def _resume(self, call: routes.Call) -> routes.Reply:
         attempt_id = urllib.parse.unquote(call.path[len(ATTEMPTS) + 1 :])
         query = urllib.parse.parse_qs(call.query)
-        answer = self._driver.answers.get(attempt_id)
-        if answer is None:
+        response = self._driver.responses.get(attempt_id)
+        if response is None:
             return routes.reply_failure(
                 failure_value.Failure(
                     code=codes.NOT_FOUND,
                     reason=f"attempt_id: {attempt_id} has no answer here",
                 )
             )
-        return self._stream(answer, int(query.get("from", ["0"])[0]))
+        return self._stream(response, int(query.get("from", ["0"])[0]))
 
-    def _stream(self, answer: answers.Answer, offset: int) -> routes.Reply:
+    def _stream(
+        self, response: responses.AttemptResponse, offset: int
+    ) -> routes.Reply:
         return routes.Reply(
             status=200,
             headers=[("Content-Type", routes.FRAMES)],
-            body=self._follow(answer, offset),
+            body=self._follow(response, offset),
         )
 
-    def _follow(self, answer: answers.Answer, offset: int) -> Iterator[bytes]:
-        answer.reader_count += 1
+    def _follow(
+        self, response: responses.AttemptResponse, offset: int
+    ) -> Iterator[bytes]:
+        response.reader_count += 1
         try:
-            follower = answers.Follower(
-                answer=answer,
+            follower = responses.Follower(
+                response=response,
                 offset=offset,
-                beat_seconds=BEAT_SECONDS,
+                heartbeat_seconds=HEARTBEAT_SECONDS,
                 describe=self._driver.detail,
             )
             for ready in follower.frames():
                 yield b"".join(map(frame.encode, ready))
         finally:
-            answer.reader_count -= 1
-            answer.last_read_at = self._clock()
+            response.reader_count -= 1
+            response.last_read_at = self._clock()
 
     def _withdraw(self, call: routes.Call) -> routes.Reply:
         naming = _read_naming(call)
@@ -159,11 +163,11 @@
         return routes.reply_json({"load": self._driver.gate.load()})
 
     def _note_idle(self, call: routes.Call) -> routes.Reply:
-        word = _read_message(call, IdleWord)
-        if failure_value.is_failure(word):
-            return routes.reply_failure(word)
-        self._note_contact(word["agent"], word["load"].generation)
-        self._driver.note_idle(word["agent"], word["load"])
+        notice = _read_message(call, IdleNotice)
+        if failure_value.is_failure(notice):
+            return routes.reply_failure(notice)
+        self._note_contact(notice["agent"], notice["load"].generation)
+        self._driver.note_idle(notice["agent"], notice["load"])
         return routes.reply_json({})
 
 
--- a/packages/daisypick_node/src/daisypick_node/agent/claim_service.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/claim_service.py
@@ -1,13 +1,14 @@
-"""Claims idempotency keys for the agent, and commits those of others.
+"""Claims idempotency keys for the agent and commits claims of other agents.
 
-The core decides (``daisypick_core.claims``); this carries it out: store calls
-over the platform's client, claims and questions between agents as JSON.
+``daisypick_core.claims`` makes the decisions; this module performs its
+actions: store calls through the platform client, and claims and status
+queries between agents as JSON.
 
-* ``POST /internal/claims``: commit this claim, as the batcher of its shard.
-* ``POST /internal/claims/ask``: what became of the attempt of this entry?
+* ``POST /internal/claims``: commit a claim, as the batcher of its shard.
+* ``POST /internal/claims/ask``: return the status of the attempt of an entry.
 
-Each claim waits in a greenlet of its own for its verdict. The core settles
-every claim within its patience, so none waits for ever.
+Each claim waits for its verdict in a separate greenlet. The core settles
+every claim within its timeout, so no greenlet waits indefinitely.
 """
 
 from collections.abc import Callable
@@ -41,15 +42,15 @@
 
 KIND = "claims"
 CLAIMS = "/internal/claims"
-ASK = "/internal/claims/ask"
+STATUS_QUERY = "/internal/claims/ask"
 
-# Below the time-out of calls between processes, so that a claim is answered
-# "unavailable" rather than not at all.
-BATCHER_PATIENCE = 1.5
+# In seconds. Below the timeout of calls between processes, so that the claimant
+# receives "unavailable" instead of a timed-out call.
+BATCHER_TIMEOUT = 1.5
 
 
 class OutcomeMessage(typing.TypedDict):
-    """An outcome on the wire: its kind and what goes with it."""
+    """The wire format of an outcome: its kind and its content."""
 
     kind: str
     entry: typing.NotRequired[claim_entry.Entry]
@@ -57,14 +58,14 @@
 
 
 class StatusMessage(typing.TypedDict):
-    """What became of an attempt."""
+    """The status of an attempt."""
 
     state: str
     ran: bool
 
 
 class ClaimService:
-    """Claimant and batcher of one agent."""
+    """The claimant and the batcher of one agent."""
 
     def __init__(
         self,
@@ -85,7 +86,7 @@
         self._claimant = core_claimant.Claimant(agent="")
         self._batcher = core_batcher.Batcher(
             rng=rng,
-            limits=core_batcher.BatcherLimits(timeout=BATCHER_PATIENCE),
+            limits=core_batcher.BatcherLimits(timeout=BATCHER_TIMEOUT),
         )
         self._tickets = itertools.count()
         self._settled_by_ticket: dict[int, gevent.event.AsyncResult] = {}
@@ -98,14 +99,14 @@
     def connect(
         self, perform_gate: Callable[[list[gate_actions.Action]], None]
     ) -> None:
-        """Take who carries out the gate's actions."""
+        """Set the function that performs the gate's actions."""
         self._perform_gate = perform_gate
 
     def set_configuration(self, configuration: model.Configuration) -> None:
-        """Take the addresses of this agent and of all agents.
+        """Set the addresses of this agent and of all agents.
 
-        Batchers are picked by the configuration alone: it is the same
-        everywhere, and a batcher that does not answer is replaced at once.
+        Batchers are chosen from the configuration only, because it is the
+        same in every process. An unresponsive batcher is replaced at once.
         """
         servers = configuration.backend_servers_by_name
         own = servers.get(self._name)
@@ -115,50 +116,54 @@
         self._claimant.set_agents(agents, agent=self._address)
 
     def claim(self, attempt: attempt_message.Attempt) -> verdicts.Verdict:
-        """Claim an attempt's key; wait for the verdict."""
+        """Claim the key of an attempt and wait for the verdict."""
         verdict = gevent.event.AsyncResult()
         self._verdict_by_attempt[attempt.attempt_id] = verdict
-        self._pursue(self._claimant.claim(attempt, self._clock()))
+        self._perform_claimant_actions(
+            self._claimant.claim(attempt, self._clock())
+        )
         return verdict.get()
 
     def release(self, attempt: attempt_message.Attempt) -> None:
-        """Give back the key of an attempt that is barred."""
-        self._pursue(self._claimant.release(attempt))
+        """Release the key of a withdrawn or refused attempt."""
+        self._perform_claimant_actions(self._claimant.release(attempt))
 
     def is_idle(self) -> bool:
-        """Tell whether no key is being given back.
+        """Return whether no key is being released.
 
-        An agent that drains gives back what waits. If it ended before the
-        keys are free again, the next attempt would find one held by an
-        agent that has restarted since, and its caller would be told that
-        the outcome is unknown although nothing ran.
+        A draining agent releases the keys of its queued attempts. If it
+        exited before the keys are free, the next attempt would find its key
+        held by an agent that has since restarted, and its caller would be
+        told that the outcome is unknown although nothing ran.
         """
         return self._releasing == 0
 
     def tick(self) -> None:
-        """Let time pass."""
+        """Process timeouts of the claimant and the batcher."""
         now = self._clock()
-        self._pursue(self._claimant.tick(now))
-        self._commit(self._batcher.tick(now))
+        self._perform_claimant_actions(self._claimant.tick(now))
+        self._perform_batcher_actions(self._batcher.tick(now))
 
     def handlers(self) -> routes.Routes:
-        """Return the table of handlers."""
+        """Return the handlers by route."""
         return {
             routes.Route("POST", CLAIMS): self._serve_claim,
-            routes.Route("POST", ASK): self._serve_ask,
+            routes.Route("POST", STATUS_QUERY): self._serve_query,
         }
 
     def describe(self) -> dict[str, typing.Any]:
-        """Return the claims' state for a dump."""
+        """Return the state of the claims for a state dump."""
         return {
             "pending": self._claimant.pending_count,
             "batched": self._batcher.waiting_count,
             "shards": self._batcher.shards,
         }
 
-    # The claimant's actions.
+    # Actions of the claimant.
 
-    def _pursue(self, due: Iterable[actions.ClaimantAction]) -> None:
+    def _perform_claimant_actions(
+        self, due: Iterable[actions.ClaimantAction]
+    ) -> None:
         for action in due:
             if isinstance(action, actions.Conclude):
                 waiter = self._verdict_by_attempt.pop(action.attempt_id)
@@ -176,7 +181,7 @@
             )
         else:
             due = self._claimant.committed(action.attempt_id, outcome, now)
-        self._pursue(due)
+        self._perform_claimant_actions(due)
 
     def _release_claim(self, action: actions.Release) -> None:
         try:
@@ -184,9 +189,9 @@
         finally:
             self._releasing -= 1
 
-    def _ask_holder(self, action: actions.QueryHolder) -> None:
-        status = self._question(action.holder)
-        self._pursue(
+    def _query_holder(self, action: actions.QueryHolder) -> None:
+        status = self._query_status(action.holder)
+        self._perform_claimant_actions(
             self._claimant.answered(
                 action.attempt_id, action.holder, status, self._clock()
             )
@@ -196,39 +201,43 @@
         self, batcher: str, claim: outcomes.Claim
     ) -> outcomes.Outcome | failure_value.Failure:
         if batcher == self._address:
-            return self._submit_here(claim)
-        answer = self._peers.call(batcher, "POST", CLAIMS, claim)
-        message = peers_module.decode(answer, OutcomeMessage)
+            return self._submit_locally(claim)
+        response = self._peers.call(batcher, "POST", CLAIMS, claim)
+        message = peers_module.decode(response, OutcomeMessage)
         if failure_value.is_failure(message):
             return message
         return _from_message(message)
 
-    def _question(
+    def _query_status(
         self, holder: claim_entry.Entry
     ) -> attempts.AttemptStatus | None:
         if holder.agent == self._address:
-            return self._answer_here(holder)
-        answer = self._peers.call(holder.agent, "POST", ASK, holder)
-        status = peers_module.decode(answer, StatusMessage)
+            return self._find_status(holder)
+        response = self._peers.call(holder.agent, "POST", STATUS_QUERY, holder)
+        status = peers_module.decode(response, StatusMessage)
         if failure_value.is_failure(status):
             return None
         return attempts.AttemptStatus(**status)
 
-    def _answer_here(self, holder: claim_entry.Entry) -> attempts.AttemptStatus:
+    def _find_status(self, holder: claim_entry.Entry) -> attempts.AttemptStatus:
         status, due = claim_holder.answer(self._gate, holder, self._clock())
         self._perform_gate(due)
         return status
 
-    # The batcher's actions.
+    # Actions of the batcher.
 
-    def _submit_here(self, claim: outcomes.Claim) -> outcomes.Outcome:
+    def _submit_locally(self, claim: outcomes.Claim) -> outcomes.Outcome:
         ticket = next(self._tickets)
         settled = gevent.event.AsyncResult()
         self._settled_by_ticket[ticket] = settled
-        self._commit(self._batcher.submit(ticket, claim, self._clock()))
+        self._perform_batcher_actions(
+            self._batcher.submit(ticket, claim, self._clock())
+        )
         return settled.get()
 
-    def _commit(self, due: Iterable[actions.BatcherAction]) -> None:
+    def _perform_batcher_actions(
+        self, due: Iterable[actions.BatcherAction]
+    ) -> None:
         for action in due:
             if isinstance(action, actions.Settle):
                 waiter = self._settled_by_ticket.pop(action.ticket)
@@ -237,26 +246,28 @@
                 gevent.spawn(self._call_store, action)
 
     def _call_store(self, call: actions.StoreCall) -> None:
-        result = _carry_out(call, self._platform)
+        result = _call_platform(call, self._platform)
         if isinstance(result, interface.StoredObject):
             result = actions.Stored(version=result.version, value=result.value)
         if result is not None:
-            self._commit(self._batcher.done(call, result, self._clock()))
+            self._perform_batcher_actions(
+                self._batcher.done(call, result, self._clock())
+            )
 
-    # What other agents ask.
+    # Routes called by other agents.
 
     def _serve_claim(self, call: routes.Call) -> routes.Reply:
         claim = _read(call, outcomes.Claim)
         if failure_value.is_failure(claim):
             return routes.reply_failure(claim)
-        outcome = self._submit_here(claim)
+        outcome = self._submit_locally(claim)
         return routes.reply_json(_to_message(outcome))
 
-    def _serve_ask(self, call: routes.Call) -> routes.Reply:
+    def _serve_query(self, call: routes.Call) -> routes.Reply:
         holder = _read(call, claim_entry.Entry)
         if failure_value.is_failure(holder):
             return routes.reply_failure(holder)
-        status = self._answer_here(holder)
+        status = self._find_status(holder)
         return routes.reply_json(
             StatusMessage(state=status.state, ran=status.ran)
         )
@@ -265,33 +276,33 @@
 _handler_by_action: dict[type, Callable[..., None]] = {
     actions.Commit: ClaimService._commit_claim,
     actions.Release: ClaimService._release_claim,
-    actions.QueryHolder: ClaimService._ask_holder,
+    actions.QueryHolder: ClaimService._query_holder,
 }
 
 
 @functools.singledispatch
-def _carry_out(
+def _call_platform(
     call: typing.Any, platform: interface.PlatformClient
 ) -> interface.StoredObject | failure_value.Failure | None:
     raise TypeError(f"call: {type(call).__name__} has no handler")
 
 
-@_carry_out.register
-def _carry_out_read(
+@_call_platform.register
+def _call_platform_read(
     call: actions.Read, platform: interface.PlatformClient
 ) -> interface.StoredObject | failure_value.Failure:
     return platform.get(KIND, call.name)
 
 
-@_carry_out.register
-def _carry_out_write(
+@_call_platform.register
+def _call_platform_write(
     call: actions.Write, platform: interface.PlatformClient
 ) -> interface.StoredObject | failure_value.Failure:
     return platform.put(KIND, call.name, call.value, if_version=call.if_version)
 
 
-@_carry_out.register
-def _carry_out_delete(
+@_call_platform.register
+def _call_platform_delete(
     call: actions.Delete, platform: interface.PlatformClient
 ) -> failure_value.Failure | None:
     return platform.delete(KIND, call.name, if_version=call.if_version)
@@ -307,7 +318,7 @@
 def _from_message(
     message: OutcomeMessage,
 ) -> outcomes.Outcome | failure_value.Failure:
-    """Return the outcome of a message; a failure if there is none in it."""
+    """Return the outcome in a message, or a failure if it has none."""
     make = _outcome_by_kind.get(message["kind"])
     content = message.get("entry", message.get("reason"))
     if make is None or content is None:
@@ -329,7 +340,7 @@
 
 
 def _read(call: routes.Call, message_type: type[typing.Any]) -> typing.Any:
-    """Return the typed message in a call's body, or a failure."""
+    """Decode the body of a call; return a failure if it is invalid."""
     body = call.read_body()
     if failure_value.is_failure(body):
         return body
--- a/packages/daisypick_node/src/daisypick_node/agent/driver.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/driver.py
@@ -1,7 +1,7 @@
-"""Carries out what the core gate decides.
+"""Performs the actions of the core gate.
 
-Actions are handled by registered handlers, one a type; what comes of them
-goes back to the gate as events.
+Each type of action has one registered handler. Results are reported back to
+the gate as events.
 """
 
 from collections.abc import Callable
@@ -23,21 +23,21 @@
 from daisypick_core.results import failure as failure_value
 from daisypick_node import logs
 from daisypick_node import records
-from daisypick_node.agent import answers
 from daisypick_node.agent import claim_service
+from daisypick_node.agent import response_replay as response_replay_module
+from daisypick_node.agent import responses
 from daisypick_node.agent import runner as runner_module
-from daisypick_node.agent import same_answer as same_answer_module
 
 _log = logs.PartLog("agent.driver")
 ABANDON_SECONDS = 10.0
 
 
 class GateDriver:
-    """Drives one gate.
+    """Performs the actions of one gate and reports their results to it.
 
     Attributes:
         gate: The core's gate.
-        answers: Answers by attempt.
+        responses: Responses by attempt.
         server: ``host:port`` of the backend server.
     """
 
@@ -45,20 +45,20 @@
         self,
         *,
         gate: core_gate.Gate,
-        store: answers.AnswerStore,
+        store: responses.ResponseStore,
         runner: runner_module.Runner,
         claims: claim_service.ClaimService,
-        same_answer: same_answer_module.SameAnswer,
+        response_replay: response_replay_module.ResponseReplay,
         server: str,
         clock: Callable[[], float],
         record: records.RequestRecord,
     ) -> None:
         self.gate = gate
-        self.answers = store
+        self.responses = store
         self.server = server
         self._runner = runner
         self._claims = claims
-        self._same_answer = same_answer
+        self._response_replay = response_replay
         self._holder_by_attempt: dict[str, claim_entry.Entry] = {}
         self._clock = clock
         self._record = record
@@ -67,121 +67,125 @@
         self._greenlet_by_attempt: dict[str, gevent.Greenlet] = {}
 
     def detail(self) -> frame.Detail:
-        """Return the load that rides on answers."""
+        """Return the load to send with response frames."""
         return frame.Detail(load=self.gate.load())
 
-    def offer(self, work: runner_module.Work) -> answers.Answer:
-        """Take in an attempt and return its answer, which may be growing."""
+    def offer(self, work: runner_module.Work) -> responses.AttemptResponse:
+        """Accept an attempt; return its response, which may be incomplete."""
         attempt_id = work.attempt.attempt_id
         now = self._clock()
         is_new = self.gate.attempts.state(attempt_id) is None
         if is_new:
-            self.answers.get_or_make(attempt_id).last_read_at = now
+            self.responses.get_or_make(attempt_id).last_read_at = now
             self._work_by_attempt[attempt_id] = work
             self._note(work.attempt.request_id, "offered", attempt_id)
         due = self.gate.offer(work.attempt, now)
-        if not due and self.answers.get(attempt_id) is None:
-            # A doubled offer of an attempt whose answer is no longer kept.
-            # A new answer would never end, and be looked at for good.
-            return answers.make_forgotten(now)
+        if not due and self.responses.get(attempt_id) is None:
+            # A duplicate offer of an attempt whose response was dropped. A
+            # new response would never end and would be checked for ever.
+            return responses.make_dropped(now)
         self.perform(due)
-        return self.answers.get_or_make(attempt_id)
+        return self.responses.get_or_make(attempt_id)
 
     def withdraw(
         self, attempt_id: str, *, epoch: int
     ) -> attempts.AttemptStatus:
-        """Take an attempt back unless it has started."""
+        """Withdraw an attempt unless it has started."""
         status, due = self.gate.withdraw(attempt_id, self._clock(), epoch=epoch)
         self.perform(due)
         return status
 
     def cancel(self, attempt_id: str) -> None:
-        """Stop an attempt that nobody waits for."""
+        """Cancel an attempt that no caller waits for."""
         self.perform(self.gate.cancel(attempt_id, self._clock()))
 
     def drain(self, reason: str) -> None:
-        """Start nothing new."""
+        """Stop starting attempts."""
         self.perform(self.gate.drain(reason, self._clock()))
 
     def apply_drain_state(self, state: drain_state.DrainState) -> None:
-        """Take what a configuration and the VM's signals say."""
+        """Apply the drain state from the configuration and VM signals."""
         self.perform(self.gate.apply_drain_state(state, self._clock()))
 
     def tick(self) -> None:
-        """Let time pass at the gate; stop what nobody follows."""
+        """Process timeouts of the gate; cancel attempts without a reader."""
         now = self._clock()
         self.perform(self.gate.tick(now))
-        self.answers.forget_old(now)
-        for attempt_id in self.answers.abandoned_ids(now, ABANDON_SECONDS):
-            # The router is gone and has not come back to its stream: without
-            # this, its requests would hold slots to their end for nobody.
+        self.responses.drop_old(now)
+        for attempt_id in self.responses.find_abandoned(now, ABANDON_SECONDS):
+            # The router disconnected and did not resume its stream. If they
+            # were not cancelled, its requests would occupy slots until their
+            # end although no caller receives the responses.
             self.cancel(attempt_id)
 
     def note_progress(self, attempt_id: str, tokens: int) -> None:
-        """Tell the gate of tokens that stream."""
+        """Report the number of streamed tokens to the gate."""
         self.gate.progress(attempt_id, tokens, self._clock())
 
     def perform(self, due: typing.Iterable[actions.Action]) -> None:
-        """Carry actions out in order."""
+        """Perform actions in order."""
         for action in due:
             _perform(action, self)
 
     def start(self, attempt_id: str) -> None:
         """Send an attempt to the backend server."""
         work = self._work_by_attempt.pop(attempt_id)
-        answer = self.answers.get_or_make(attempt_id)
-        answer.start()
+        response = self.responses.get_or_make(attempt_id)
+        response.start()
         self._note(work.attempt.request_id, "started", attempt_id)
         self._scheduled_by_attempt[attempt_id] = work
-        greenlet = gevent.spawn(self._run, work, answer)
+        greenlet = gevent.spawn(self._run, work, response)
         self._greenlet_by_attempt[attempt_id] = greenlet
 
     def refuse(self, attempt_id: str, failure: failure_value.Failure) -> None:
-        """Close an attempt's answer with a failure."""
+        """Fail the response to an attempt.
+
+        If another attempt holds its key, copy that response instead.
+        """
         work = self._work_by_attempt.pop(attempt_id, None)
-        answer = self.answers.get_or_make(attempt_id)
-        if answer.is_over:
+        response = self.responses.get_or_make(attempt_id)
+        if response.is_over:
             return
         holder = self._holder_by_attempt.pop(attempt_id, None)
         if holder is not None:
-            gevent.spawn(self._copy, attempt_id, holder, answer, failure)
+            gevent.spawn(self._copy, attempt_id, holder, response, failure)
             return
-        answer.fail(failure, self._clock())
-        self.answers.note_finished(attempt_id, self._clock())
+        response.fail(failure, self._clock())
+        self.responses.note_finished(attempt_id, self._clock())
         if work is not None:
             request_id = work.attempt.request_id
             self._note(request_id, f"refused: {failure.reason}", attempt_id)
 
     def hint(self, action: actions.Hint) -> None:
-        """Tell an attempt's reader of an idle agent."""
-        answer = self.answers.get(action.attempt.attempt_id)
-        if answer is not None:
-            answer.hint(answers.Hint(agent=action.agent, load=action.load))
+        """Report an idle agent to the readers of an attempt."""
+        response = self.responses.get(action.attempt.attempt_id)
+        if response is not None:
+            response.hint(responses.Hint(agent=action.agent, load=action.load))
 
     def note_idle(self, peer: str, load: load_message.Load) -> None:
-        """Take a peer's word that it is idle."""
+        """Record that a peer is idle."""
         self.perform(self.gate.note_idle(peer, load, self._clock()))
 
     def release(self, attempt: attempt_message.Attempt) -> None:
-        """Give back the key of an attempt that is barred."""
+        """Release the key of a withdrawn or refused attempt."""
         self._claims.release(attempt)
 
     def claim(self, action: actions.Claim) -> None:
-        """Claim an attempt's key, then tell the gate."""
+        """Claim the key of an attempt and report the verdict to the gate."""
         gevent.spawn(self._claim, action)
 
     def stop(self, attempt_id: str) -> None:
-        """End a running attempt's call."""
+        """Abort the call of a running attempt."""
         greenlet = self._greenlet_by_attempt.get(attempt_id)
         if greenlet is None:
             return
         greenlet.kill(block=False)
         work = self._scheduled_by_attempt.pop(attempt_id, None)
         if work is not None:
-            # A greenlet that is killed before its first step never runs its
-            # clean-up: the slot would stay taken until the agent restarts.
+            # A greenlet killed before its first step never runs its cleanup:
+            # the slot would stay occupied until the agent restarts.
             del self._greenlet_by_attempt[attempt_id]
-            self._cancelled(work, self.answers.get_or_make(attempt_id))
+            self._cancelled(work, self.responses.get_or_make(attempt_id))
 
     def _claim(self, action: actions.Claim) -> None:
         attempt_id = action.attempt.attempt_id
@@ -196,44 +200,46 @@
         self,
         attempt_id: str,
         holder: claim_entry.Entry,
-        answer: answers.Answer,
-        otherwise: failure_value.Failure,
+        response: responses.AttemptResponse,
+        fallback: failure_value.Failure,
     ) -> None:
-        """Give a refused attempt the answer of the one that holds its key."""
-        self._same_answer.copy(holder, answer, otherwise)
-        self.answers.note_finished(attempt_id, self._clock())
+        """Copy the response of the attempt that holds the key."""
+        self._response_replay.copy(holder, response, fallback)
+        self.responses.note_finished(attempt_id, self._clock())
 
-    def _run(self, work: runner_module.Work, answer: answers.Answer) -> None:
+    def _run(
+        self, work: runner_module.Work, response: responses.AttemptResponse
+    ) -> None:
         attempt_id = work.attempt.attempt_id
         self._scheduled_by_attempt.pop(attempt_id, None)
         outcome = _CANCELLED
         try:
-            outcome = self._runner.run(work, self.server, answer)
+            outcome = self._runner.run(work, self.server, response)
         except gevent.GreenletExit:
-            answer.fail(_cancelled_failure(), self._clock())
+            response.fail(_cancelled_failure(), self._clock())
         finally:
             self._greenlet_by_attempt.pop(attempt_id, None)
-            self._end(work, answer, outcome)
+            self._end(work, response, outcome)
 
     def _cancelled(
-        self, work: runner_module.Work, answer: answers.Answer
+        self, work: runner_module.Work, response: responses.AttemptResponse
     ) -> None:
-        answer.fail(_cancelled_failure(), self._clock())
-        self._end(work, answer, _CANCELLED)
+        response.fail(_cancelled_failure(), self._clock())
+        self._end(work, response, _CANCELLED)
 
     def _end(
         self,
         work: runner_module.Work,
-        answer: answers.Answer,
+        response: responses.AttemptResponse,
         outcome: runner_module.Outcome,
     ) -> None:
         now = self._clock()
-        if not answer.is_over:
-            answer.fail(_fault_failure(), now)
+        if not response.is_over:
+            response.fail(_internal_failure(), now)
         attempt_id = work.attempt.attempt_id
-        self.answers.note_finished(attempt_id, now)
+        self.responses.note_finished(attempt_id, now)
         self._note(work.attempt.request_id, "ended", attempt_id)
-        has_run = not _has_never_arrived(answer)
+        has_run = not _was_not_delivered(response)
         self.perform(
             self.gate.finish(
                 attempt_id,
@@ -289,9 +295,9 @@
     driver.stop(action.attempt.attempt_id)
 
 
-def _has_never_arrived(answer: answers.Answer) -> bool:
-    """Tell whether the attempt surely did not reach the backend server."""
-    failure = answer.failure
+def _was_not_delivered(response: responses.AttemptResponse) -> bool:
+    """Return whether the attempt certainly did not reach the server."""
+    failure = response.failure
     return failure is not None and failure.code == codes.ENGINE_UNREACHABLE
 
 
@@ -301,7 +307,7 @@
     )
 
 
-def _fault_failure() -> failure_value.Failure:
+def _internal_failure() -> failure_value.Failure:
     return failure_value.Failure(
         code=codes.OUTCOME_UNKNOWN, reason="agent: failed while it ran"
     )
--- a/packages/daisypick_node/src/daisypick_node/agent/idle_word.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/idle_notifier.py
@@ -1,7 +1,7 @@
-"""Tells peers that this agent is idle.
+"""Announces to peers that this agent is idle.
 
 See Also:
-    ``daisypick_core.gate.idle_peers``: why, and how often.
+    ``daisypick_core.gate.idle_peers``: the reasons and the interval.
 """
 
 import random
@@ -15,8 +15,8 @@
 from daisypick_node.http import peers as peers_module
 
 
-class IdleWord:
-    """One agent's word to the agents of the same service."""
+class IdleNotifier:
+    """Announces one agent to the other agents of its service."""
 
     def __init__(
         self,
@@ -31,15 +31,15 @@
         self._peers = peers
         self._address = ""
         self._rng = rng
-        self._seeker = idle_peers.IdleAnnouncer(rng=rng)
+        self._announcer = idle_peers.IdleAnnouncer(rng=rng)
         self._others: list[str] = []
 
     def set_configuration(self, configuration: model.Configuration) -> None:
-        """Take the agents of the same service."""
+        """Set the other agents of the same service."""
         servers = configuration.backend_servers_by_name
         own = servers.get(self._name)
-        # Routers know the agent by its configured address, which need not be
-        # the one that it listens on.
+        # Routers identify the agent by its configured address, which can
+        # differ from the address on which it listens.
         self._address = own.agent if own is not None else ""
         self._others = [
             server.agent
@@ -51,16 +51,16 @@
         ]
 
     def tick(self, now: float) -> None:
-        """Tell a few peers if it is time to."""
+        """Send an announcement to a few peers if one is due."""
         load = self._gate.load()
-        if not self._others or not self._seeker.is_due(
+        if not self._others or not self._announcer.is_due(
             free=load.free, waiting=load.waiting, now=now
         ):
             return
-        self._seeker.record_announced(now)
+        self._announcer.record_announced(now)
         count = min(idle_peers.PEERS_PER_ANNOUNCEMENT, len(self._others))
-        word = attempt_routes.IdleWord(agent=self._address, load=load)
+        notice = attempt_routes.IdleNotice(agent=self._address, load=load)
         for other in self._rng.sample(self._others, count):
             gevent.spawn(
-                self._peers.call, other, "POST", attempt_routes.IDLE, word
+                self._peers.call, other, "POST", attempt_routes.IDLE, notice
             )
--- a/packages/daisypick_node/src/daisypick_node/agent/process.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/process.py
@@ -1,4 +1,4 @@
-"""The agent as a process: ``daisypickd agent``."""
+"""The agent process, started by ``daisypickd agent``."""
 
 from collections.abc import Callable
 import random
@@ -13,13 +13,13 @@
 from daisypick_core.gate import gate as core_gate
 from daisypick_node import process
 from daisypick_node import settings as settings_module
-from daisypick_node.agent import answers
 from daisypick_node.agent import attempt_routes
 from daisypick_node.agent import claim_service
 from daisypick_node.agent import driver as driver_module
-from daisypick_node.agent import idle_word
+from daisypick_node.agent import idle_notifier
+from daisypick_node.agent import response_replay
+from daisypick_node.agent import responses
 from daisypick_node.agent import runner
-from daisypick_node.agent import same_answer
 from daisypick_node.agent import tally_service
 from daisypick_node.http import client
 from daisypick_node.http import routes
@@ -27,7 +27,7 @@
 
 
 class AgentProcess(process.Process):
-    """The gate of one backend server."""
+    """The process that controls admission to one backend server."""
 
     kind = "agent"
     settings: settings_module.AgentSettings
@@ -57,7 +57,7 @@
         )
         self.driver = self._make_driver()
         self.claims.connect(self.driver.perform)
-        self.idle_word = idle_word.IdleWord(
+        self.idle_notifier = idle_notifier.IdleNotifier(
             name=settings.name,
             gate=self.gate,
             peers=self.peers,
@@ -75,7 +75,7 @@
         self._apply_drain_state()
 
     def _make_driver(self) -> driver_module.GateDriver:
-        store = answers.AnswerStore(
+        store = responses.ResponseStore(
             keep_seconds=self.settings.keep_answer_seconds,
             keep_bytes=self.settings.keep_answer_bytes,
         )
@@ -90,7 +90,7 @@
                 note_boot=self.gate.limit.boot_seen,
             ),
             claims=self.claims,
-            same_answer=same_answer.SameAnswer(
+            response_replay=response_replay.ResponseReplay(
                 store=store,
                 pool=self._pool,
                 fleet_key=settings_module.split_list(
@@ -107,7 +107,7 @@
         self.driver.note_progress(attempt_id, tokens)
 
     def handlers(self) -> routes.Routes:
-        """Return the agent's table of handlers."""
+        """Return the handlers of the agent by route."""
         attempts = attempt_routes.AttemptRoutes(
             driver=self.driver,
             clock=self.clock,
@@ -120,7 +120,7 @@
         }
 
     def on_start(self) -> None:
-        """Watch the load and the service of organisations."""
+        """Register metrics for the load and the organisations' tokens."""
         self.metrics.watch_organisations(
             "service_tokens",
             "Tokens served by organisation.",
@@ -140,14 +140,14 @@
         )
 
     def on_tick(self) -> None:
-        """Let time pass at the gate."""
+        """Process timeouts and send the reports that are due."""
         self.driver.tick()
         self.claims.tick()
-        self.idle_word.tick(self.clock())
+        self.idle_notifier.tick(self.clock())
         self.tally.tick()
 
     def on_configuration(self) -> None:
-        """Take shares, slots and the state of the data centre."""
+        """Apply shares, slots and the state of the data centre."""
         self.order.set_shares(
             {
                 name: organisation.share
@@ -156,7 +156,7 @@
                 )
             }
         )
-        self.idle_word.set_configuration(self.configuration)
+        self.idle_notifier.set_configuration(self.configuration)
         self.tally.set_configuration(self.configuration)
         self.claims.set_configuration(self.configuration)
         server = self.configuration.backend_servers_by_name.get(
@@ -178,29 +178,29 @@
         self.driver.apply_drain_state(state)
 
     def on_leaving(self) -> None:
-        """Give back what waits; what runs ends."""
+        """Refuse queued attempts; running ones complete."""
         self._apply_drain_state()
 
     def on_drain(self) -> None:
-        """Give back what waits."""
+        """Refuse queued attempts."""
         self.driver.drain(admission.SHUTDOWN)
 
     def is_idle(self) -> bool:
-        """Tell whether nothing runs, is being read or is given back."""
+        """Return whether no attempt, reader or key release is pending."""
         return (
             self.gate.running_count == 0
-            and not self.driver.answers.has_readers()
+            and not self.driver.responses.has_readers()
             and self.claims.is_idle()
         )
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop without draining."""
         self.tally.stop()
         super().stop()
         self._pool.close()
 
     def describe(self) -> dict[str, typing.Any]:
-        """Return the gate's state for a dump."""
+        """Return the state of the agent for a state dump."""
         return {
             "name": self.settings.name,
             "incarnation": self.gate.incarnation,
--- a/packages/daisypick_node/src/daisypick_node/agent/runner.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/runner.py
@@ -1,8 +1,8 @@
-"""One attempt's call to the backend server.
+"""Sends one attempt to the backend server.
 
-The call is sent once. Its answer goes into an ``answers.Answer`` as it comes;
-tokens that arrive within ``gather_seconds`` of each other are taken up
-together, which costs one step instead of one a token.
+The request is sent once. The server's response is appended to an
+``AttemptResponse`` as it arrives. Tokens that arrive within ``gather_seconds``
+are read together, which needs one loop step instead of one for each token.
 """
 
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 from daisypick_core.messages import attempt as attempt_message
 from daisypick_core.results import codes
 from daisypick_core.results import failure as failure_value
-from daisypick_node.agent import answers
+from daisypick_node.agent import responses
 from daisypick_node.agent import usage as usage_module
 from daisypick_node.http import client
 
@@ -27,7 +27,7 @@
         "upgrade",
         "trailer",
         "te",
-        # The router sets these two for the whole answer.
+        # The router sets these two on the response to the caller.
         "date",
         "x-request-id",
     }
@@ -37,11 +37,11 @@
 
 
 class Outcome(typing.NamedTuple):
-    """What came of an attempt.
+    """The outcome of an attempt.
 
     Attributes:
-        cost: Tokens charged for it.
-        is_healthy: Whether the backend server did its work.
+        cost: Tokens charged for the attempt.
+        is_healthy: Whether the backend server responded without an error.
         first_byte_seconds: Time to the first byte of the body.
     """
 
@@ -51,7 +51,7 @@
 
 
 class Work(typing.NamedTuple):
-    """An attempt and what the backend server shall see of it."""
+    """An attempt and its HTTP request to the backend server."""
 
     attempt: attempt_message.Attempt
     method: str
@@ -61,7 +61,7 @@
 
 
 class Runner:
-    """Runs attempts at one backend server."""
+    """Runs attempts on a backend server."""
 
     def __init__(
         self,
@@ -78,43 +78,45 @@
         self._note_progress = note_progress
         self._note_boot = note_boot
 
-    def run(self, work: Work, server: str, answer: answers.Answer) -> Outcome:
-        """Call the backend server and fill the answer."""
+    def run(
+        self, work: Work, server: str, response: responses.AttemptResponse
+    ) -> Outcome:
+        """Call the backend server and copy its response to ``response``."""
         started_at = self._clock()
         try:
-            response = self._send(work, server)
+            http_response = self._send(work, server)
         except client.CALL_ERRORS as error:
             self._pool.forget(server)
-            return self._fail(answer, _call_failure(error))
+            return self._fail(response, _call_failure(error))
         except ValueError as error:
-            # The library refuses to build the call: nothing was sent, and
-            # another server's agent would refuse it as well.
-            return self._fail(answer, _bad_call(error))
+            # The HTTP client could not build the request: nothing was sent,
+            # and the agent of any other server would fail in the same way.
+            return self._fail(response, _invalid_call_failure(error))
         first_byte_at = None
         try:
-            boot_id = str(response.get(BOOT_ID, ""))
+            boot_id = str(http_response.get(BOOT_ID, ""))
             if boot_id:
                 self._note_boot(boot_id)
-            if _is_refusal(work.attempt, response.status_code):
-                return self._fail(answer, _engine_failure(response))
-            meter = self._open(answer, response)
-            while data := client.read_available(response):
+            if _is_retried_elsewhere(work.attempt, http_response.status_code):
+                return self._fail(response, _engine_failure(http_response))
+            meter = self._start_response(response, http_response)
+            while data := client.read_available(http_response):
                 first_byte_at = first_byte_at or self._clock()
                 meter.feed(data)
-                answer.append(data)
+                response.append(data)
                 self._note_progress(
                     work.attempt.attempt_id, meter.streamed_tokens
                 )
-                if not response.message_complete:
+                if not http_response.message_complete:
                     gevent.sleep(self._gather_seconds)
         except client.CALL_ERRORS as error:
-            return self._fail(answer, _broken_failure(error))
+            return self._fail(response, _broken_failure(error))
         finally:
-            client.abandon(response)
+            client.abandon(http_response)
         if not meter.has_end_mark():
-            return self._fail(answer, _broken_failure(None))
+            return self._fail(response, _broken_failure(None))
         return self._finish(
-            answer, meter, (first_byte_at or started_at) - started_at
+            response, meter, (first_byte_at or started_at) - started_at
         )
 
     def _send(self, work: Work, server: str) -> client.Response:
@@ -124,32 +126,34 @@
             server, work.method, work.path, body=work.body, headers=headers
         )
 
-    def _open(
-        self, answer: answers.Answer, response: client.Response
+    def _start_response(
+        self,
+        response: responses.AttemptResponse,
+        http_response: client.Response,
     ) -> usage_module.UsageMeter:
         headers = [
             (name, value)
-            for name, value in response.headers
+            for name, value in http_response.headers
             if name.lower() not in _HOP_HEADERS
         ]
-        answer.set_head(
-            answers.Head(status=response.status_code, headers=headers)
+        response.set_head(
+            responses.Head(status=http_response.status_code, headers=headers)
         )
-        content_type = str(response.get("content-type", ""))
+        content_type = str(http_response.get("content-type", ""))
         return usage_module.UsageMeter(
             is_stream=content_type.startswith(_STREAM_TYPE)
         )
 
     def _finish(
         self,
-        answer: answers.Answer,
+        response: responses.AttemptResponse,
         meter: usage_module.UsageMeter,
         first_byte_seconds: float,
     ) -> Outcome:
-        usage = meter.total(bytes(answer.data))
-        assert answer.head is not None
-        is_healthy = answer.head.status < _SERVER_FAULT
-        answer.finish(usage, self._clock())
+        usage = meter.total(bytes(response.data))
+        assert response.head is not None
+        is_healthy = response.head.status < _SERVER_FAULT
+        response.finish(usage, self._clock())
         return Outcome(
             cost=float(usage.prompt_tokens + usage.completion_tokens),
             is_healthy=is_healthy,
@@ -158,10 +162,10 @@
 
     def _fail(
         self,
-        answer: answers.Answer,
+        response: responses.AttemptResponse,
         failure: failure_value.Failure,
     ) -> Outcome:
-        answer.fail(failure, self._clock())
+        response.fail(failure, self._clock())
         return Outcome(
             cost=0.0,
             is_healthy=False,
@@ -169,28 +173,30 @@
         )
 
 
-def _is_refusal(attempt: attempt_message.Attempt, status: int) -> bool:
-    """Tell whether an answer is better sought at another backend server.
+def _is_retried_elsewhere(
+    attempt: attempt_message.Attempt, status: int
+) -> bool:
+    """Return whether to retry the request on another backend server.
 
-    A server that falls over in its cold start answers 5xx; a repeatable
-    request is run elsewhere. One that may not be repeated keeps this answer,
-    since it may have run.
+    A server that crashes during its cold start responds with 5xx; a repeatable
+    request is then run on another server. A request that is not repeatable
+    keeps this response, because it may have run.
     """
     return attempt.is_repeatable and status >= _SERVER_FAULT
 
 
-def _engine_failure(response: client.Response) -> failure_value.Failure:
+def _engine_failure(http_response: client.Response) -> failure_value.Failure:
     return failure_value.Failure(
         code=codes.ENGINE_FAILED,
-        reason=f"backend server: status {response.status_code}",
+        reason=f"backend server: status {http_response.status_code}",
     )
 
 
 def _call_failure(error: Exception) -> failure_value.Failure:
-    """Return what a failed send means.
+    """Return the failure for an error of sending.
 
-    Only a connection that was never made proves that nothing arrived: any
-    other error may come after the backend server has run the call.
+    Only a connection that was never established proves that nothing arrived.
+    Any other error may occur after the backend server has run the request.
     """
     code = codes.OUTCOME_UNKNOWN
     if isinstance(error, client.NotConnectedError):
@@ -200,7 +206,7 @@
     )
 
 
-def _bad_call(error: ValueError) -> failure_value.Failure:
+def _invalid_call_failure(error: ValueError) -> failure_value.Failure:
     return failure_value.Failure(code=codes.BAD_REQUEST, reason=str(error))
 
 
--- a/packages/daisypick_node/tests/agent/test_driver.py
+++ b/packages/daisypick_node/tests/agent/test_driver.py
@@ -22,30 +22,30 @@
 
 
 def test_cancel_before_the_first_step_frees_the_slot():
-    # An attempt gets a slot, and its caller leaves before the loop has come
-    # to its greenlet. The killed greenlet never runs; its slot must be free
-    # all the same, or the server loses one for good.
+    # An attempt is cancelled after it got a slot but before its greenlet
+    # first runs. The killed greenlet never runs its cleanup; its slot must
+    # still be freed, or the server permanently loses one.
     engine = fleet_module.make_engine(fleet_module.answer_stream("a"))
     fleet = fleet_module.Fleet([engine])
     agent = fleet.agents[0]
-    answer = agent.driver.offer(make_work(agent, "x"))
+    response = agent.driver.offer(make_work(agent, "x"))
     assert agent.gate.running_count == 1
     agent.driver.cancel("x")
-    assert (agent.gate.running_count, answer.is_over) == (0, True)
+    assert (agent.gate.running_count, response.is_over) == (0, True)
     fleet.stop()
     assert engine.calls == []
 
 
-def test_doubled_offer_of_a_forgotten_answer_ends():
-    # An attempt has run and its answer is no longer kept when its offer comes
-    # again, doubled by the network. It must neither run nor wait for good.
+def test_duplicate_offer_after_its_response_was_dropped_fails():
+    # A duplicate offer arrives after the attempt has run and its response
+    # was dropped. It must neither run nor wait indefinitely.
     engine = fleet_module.make_engine(fleet_module.answer_stream("a"))
     fleet = fleet_module.Fleet([engine], keep_answer_bytes=1)
     agent = fleet.agents[0]
     first = agent.driver.offer(make_work(agent, "x"))
-    fleet_module.wait_until(lambda: agent.driver.answers.get("x") is None)
+    fleet_module.wait_until(lambda: agent.driver.responses.get("x") is None)
     again = agent.driver.offer(make_work(agent, "x"))
     assert (first.is_over, again.failure.code.number) == (True, 4002)
-    assert agent.driver.answers.get("x") is None
+    assert agent.driver.responses.get("x") is None
     fleet.stop()
     assert len(engine.calls) == 1
