--- a/packages/daisypick_node/src/daisypick_node/http/__init__.py
+++ b/packages/daisypick_node/src/daisypick_node/http/__init__.py
@@ -1,8 +1,8 @@
-"""HTTP, thin over gevent's WSGI server and ``geventhttpclient``.
+"""HTTP server and client, on gevent's WSGI server and ``geventhttpclient``.
 
-* ``routes``: typed calls and replies, and the table of handlers.
-* ``server``: one listening socket of a process.
-* ``client``: one call that is never sent twice.
-* ``peers``: JSON calls between processes of the fleet, counted.
-* ``keys``: who may call what.
+* ``routes``: typed calls and replies, and handlers by route.
+* ``server``: the HTTP server of a process.
+* ``client``: pooled connections whose calls are never resent.
+* ``peers``: JSON calls between processes of the fleet, with traffic counts.
+* ``keys``: authentication of fleet processes and operators.
 """
--- a/packages/daisypick_node/src/daisypick_node/http/client.py
+++ b/packages/daisypick_node/src/daisypick_node/http/client.py
@@ -1,11 +1,11 @@
-"""Calls that are never sent twice.
+"""A pooled HTTP client whose calls are never resent.
 
 ``geventhttpclient`` resends PUT, DELETE and GET by itself when a connection
-closes before the answer. For a request that may not be repeated, or for a
-conditional write to the platform, such a resend is a second run that nobody
-has decided on: a family is charged twice, or an operator is told of a
-conflict with his own write. The clients made here never resend; a broken call
-is reported to those who decide on retries.
+closes before the response. If the request is not repeatable, or is a
+conditional write to the platform, such a resend can run it a second time: a
+payment is charged twice, or an operator gets a conflict with his own write.
+The clients made here never resend; a failed call is reported to the caller of
+this module, which decides on retries.
 
 See Also:
     ``daisypick_core.routing.dispatcher``: where retries are decided.
@@ -28,12 +28,12 @@
 MAX_CONNECTIONS = 100_000
 CONNECT_TIMEOUT = 1.0
 
-# The library tries ``size + 1`` further times; the attribute serves no other
-# purpose once the pool is built.
+# The library retries ``size + 1`` times; the attribute has no other use once
+# the pool is built.
 _NEVER_RESEND = -1
 
-# What a broken call can raise: the socket's errors (timeouts among them) and
-# the library's complaint about a malformed or cut answer.
+# Errors of a failed call: socket errors, which include timeouts, and the
+# library's parse error for a malformed or truncated response.
 CALL_ERRORS = (
     OSError,
     library_response.HTTPParseError,
@@ -41,14 +41,14 @@
 
 
 class NotConnectedError(ConnectionError):
-    """There was no connection, so nothing of the call was sent."""
+    """The connection was not established, so nothing was sent."""
 
 
 Response = library_response.HTTPSocketPoolResponse
 
 
 class Address(typing.NamedTuple):
-    """Where a process listens, by IP number."""
+    """IP address and port that a process listens on."""
 
     host: str
     port: int
@@ -75,10 +75,10 @@
 
 
 class ClientPool:
-    """Keeps connections to many addresses, by address.
+    """Connection pools by address.
 
     Attributes:
-        timeout: Seconds without a byte after which a call breaks.
+        timeout: Seconds without a byte after which a call fails.
     """
 
     def __init__(self, *, timeout: float, ca_file: str | None = None) -> None:
@@ -95,12 +95,12 @@
         body: bytes = b"",
         headers: Mapping[str, str] | None = None,
     ) -> Response:
-        """Send a call once and return its answer's head.
+        """Send a call once and return the response once its head arrived.
 
         Raises:
             NotConnectedError: No connection; nothing was sent.
-            OSError: The connection broke, or no byte within ``timeout``.
-            HTTPParseError: The answer is cut or malformed.
+            OSError: The connection failed, or no byte within ``timeout``.
+            HTTPParseError: The response is truncated or malformed.
         """
         client = self._client_by_address.get(address)
         if client is None:
@@ -109,23 +109,23 @@
         return client.request(method, path, body=body, headers=headers or {})
 
     def forget(self, address: str) -> None:
-        """Drop the idle connections to an address.
+        """Close the idle connections to an address.
 
-        Connections of one age tend to go silent together, when something
-        between the ends has lost track of them: each would cost its caller
-        a whole timeout. New ones are made for the next calls.
+        Connections of the same age tend to stop responding together, when a
+        device in between has dropped their state, and each would cost a call
+        a whole timeout. Later calls open new connections.
         """
         client = self._client_by_address.pop(address, None)
         if client is not None:
             client.close()
 
     def keep_only(self, addresses: frozenset[str]) -> None:
-        """Drop the connections to all other addresses."""
+        """Close the idle connections to all other addresses."""
         for address in set(self._client_by_address) - addresses:
             self.forget(address)
 
     def close(self) -> None:
-        """Drop all idle connections."""
+        """Close all idle connections."""
         for address in list(self._client_by_address):
             self.forget(address)
 
@@ -150,22 +150,22 @@
         pool.size = _NEVER_RESEND
         pool._create_tcp_socket = _create_socket
         pool._is_socket_alive = _is_socket_idle
-        if _is_number(address.host):
-            pool._resolve = functools.partial(_resolve_number, address)
-        pool._create_socket = _mark_errors(pool._create_socket)
+        if _is_ip_address(address.host):
+            pool._resolve = functools.partial(_resolve_ip_address, address)
+        pool._create_socket = _wrap_connect_errors(pool._create_socket)
         return client
 
 
 def read_available(response: Response) -> bytes:
-    """Return the bytes that have arrived, or wait for some.
+    """Return the buffered bytes, or wait until some arrive.
 
-    Returns ``b""`` only at the end of a whole answer. The library's ``read``
-    waits until a given length is there, which would hold streamed tokens
-    back; this does one ``recv`` at most.
+    Returns ``b""`` only at the end of a complete response. The library's
+    ``read`` waits for a given length, which would delay streamed tokens; this
+    function returns after the first ``recv`` that yields body bytes.
 
     Raises:
-        OSError: No byte within the timeout, or the connection broke.
-        HTTPParseError: The answer is cut or malformed.
+        OSError: No byte within the timeout, or the connection failed.
+        HTTPParseError: The response is truncated or malformed.
     """
     while not response._body_buffer and not response.message_complete:
         sock = response._sock
@@ -187,23 +187,23 @@
 
 
 def abandon(response: Response) -> None:
-    """Close the connection of an answer that nobody reads to its end."""
+    """Close the connection of a response without reading the rest."""
     response.release()
 
 
 def _make_ssl_context(cafile: str) -> gevent.ssl.SSLContext:
-    """Return a context whose sockets leave the loop running.
+    """Return a TLS context whose sockets do not block the event loop.
 
-    The library's own default makes sockets of the standard library, whose
-    handshake blocks the one thread: a far end in the same state would wait
-    for it for good.
+    The library's default context makes standard library sockets, whose
+    handshake blocks the only thread. Two processes in a handshake with each
+    other would deadlock.
     """
     context = gevent.ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.load_verify_locations(cafile)
     return context
 
 
-def _is_number(host: str) -> bool:
+def _is_ip_address(host: str) -> bool:
     try:
         ipaddress.ip_address(host)
     except ValueError:
@@ -211,21 +211,22 @@
     return True
 
 
-def _resolve_number(address: Address) -> list[tuple[typing.Any, ...]]:
-    """Return what ``getaddrinfo`` would, without its pool of threads."""
+def _resolve_ip_address(address: Address) -> list[tuple[typing.Any, ...]]:
+    """Return the ``getaddrinfo`` result without the resolver's threads."""
     is_v6 = ":" in address.host
     family = gevent.socket.AF_INET6 if is_v6 else gevent.socket.AF_INET
     kind, protocol = gevent.socket.SOCK_STREAM, gevent.socket.IPPROTO_TCP
     return [(family, kind, protocol, "", tuple(address))]
 
 
-def _mark_errors(
+def _wrap_connect_errors(
     connect: Callable[[], gevent.socket.socket],
 ) -> Callable[[], gevent.socket.socket]:
-    """Return a connect whose errors prove that nothing was sent.
+    """Return a connect function that raises ``NotConnectedError``.
 
-    A timeout alone does not tell whether the far end has read the call; one
-    that comes while connecting does, and lets a booking be tried elsewhere.
+    A timeout alone does not show whether the peer has read the call. One
+    during connect proves that nothing was sent, so that even a request that
+    is not repeatable can be sent to another server.
     """
 
     def _connect() -> gevent.socket.socket:
@@ -240,17 +241,17 @@
 def _create_socket(
     family: int, socktype: int, protocol: int
 ) -> gevent.socket.socket:
-    """Return a socket that sends small frames at once."""
+    """Return a socket with ``TCP_NODELAY``, so small frames are not delayed."""
     sock = gevent.socket.socket(family, socktype, protocol)
     sock.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
     return sock
 
 
 def _is_socket_idle(sock: gevent.socket.socket | None) -> bool:
-    """Tell whether a pooled socket can be used again.
+    """Return whether a pooled socket can be reused.
 
-    The library asks ``select``, which knows no descriptor above 1023: a busy
-    router would throw every pooled connection away.
+    The library uses ``select``, which does not support file descriptors above
+    1023, so a busy router would discard every pooled connection.
     """
     if sock is None or sock.fileno() < 0:
         return False
--- a/packages/daisypick_node/src/daisypick_node/http/keys.py
+++ b/packages/daisypick_node/src/daisypick_node/http/keys.py
@@ -1,9 +1,8 @@
-"""Who may call what.
+"""Authentication of fleet processes and operators by bearer keys.
 
-Processes of the fleet know each other by a fleet key, operators have another.
-Each can be rotated: a process accepts all keys of its list and sends the
-first. Keys are compared in constant time, so that the time of a refusal tells
-nothing about them.
+Processes of the fleet share fleet keys; operators have keys of their own. Keys
+can be rotated: a process accepts all keys of a list and sends the first. Keys
+are compared in constant time to prevent timing attacks.
 """
 
 import hmac
@@ -15,7 +14,7 @@
 
 
 class Keys(typing.NamedTuple):
-    """The keys that a process accepts, the one that it sends first."""
+    """The keys that a process accepts; it sends the first fleet key."""
 
     fleet: tuple[str, ...]
     operator: tuple[str, ...]
@@ -34,7 +33,7 @@
 
 
 def roles(keys: Keys, authorization: str) -> frozenset[str]:
-    """Return the roles that an ``Authorization`` header proves.
+    """Return the roles that an ``Authorization`` header grants.
 
     Examples:
         >>> keys = Keys(fleet=("new", "old"), operator=("op",))
@@ -42,9 +41,9 @@
         (['fleet'], [])
     """
     token = bearer_token(authorization).encode()
-    proven = set()
+    granted = set()
     for role, accepted in ((FLEET, keys.fleet), (OPERATOR, keys.operator)):
         for key in accepted:
             if key and hmac.compare_digest(token, key.encode()):
-                proven.add(role)
-    return frozenset(proven)
+                granted.add(role)
+    return frozenset(granted)
--- a/packages/daisypick_node/src/daisypick_node/http/peers.py
+++ b/packages/daisypick_node/src/daisypick_node/http/peers.py
@@ -1,6 +1,6 @@
-"""JSON calls between processes of the fleet, counted.
+"""JSON calls between processes of the fleet, with traffic counts.
 
-Control traffic is what a node spends besides serving: its messages and bytes
+Control traffic is a node's overhead besides serving. Its messages and bytes
 are counted here, in one place, for the budget of the capacity page.
 """
 
@@ -12,8 +12,8 @@
 from daisypick_core.results import failure as failure_value
 from daisypick_node.http import client
 
-# Headers of a call and of its answer together: 330 bytes were counted on a
-# wire between two processes, with a fleet key of 32 characters.
+# Headers of a request and its response together, with a fleet key of 32
+# characters.
 _HEADER_BYTES = 330
 
 
@@ -55,36 +55,37 @@
         path: str,
         message: object = None,
     ) -> bytes | failure_value.Failure:
-        """Send a message as JSON and return the body of the answer.
+        """Send a message as JSON and return the body of the response.
 
-        Failures: ``PEER_UNREACHABLE`` if there is no answer, ``BAD_MESSAGE``
-        if the other process refuses the message, ``NOT_FOUND``.
+        Failures: ``PEER_UNREACHABLE`` if there is no response,
+        ``BAD_MESSAGE`` if the other process refuses the message,
+        ``NOT_FOUND``.
         """
         body = b"" if message is None else msgspec.json.encode(message)
         try:
             response = self._pool.request(
                 address, method, path, body=body, headers=self._headers
             )
-            answer = bytes(response.read())
+            response_body = bytes(response.read())
         except client.CALL_ERRORS as error:
             self._pool.forget(address)
             return failure_value.Failure(
                 code=codes.PEER_UNREACHABLE,
                 reason=f"address: {address}: {type(error).__name__}",
             )
-        self.traffic.count(len(body) + len(answer))
-        return _check_status(address, response.status_code, answer)
+        self.traffic.count(len(body) + len(response_body))
+        return _check_status(address, response.status_code, response_body)
 
     def close(self) -> None:
-        """Drop all idle connections."""
+        """Close all idle connections."""
         self._pool.close()
 
 
 def _check_status(
-    address: str, status: int, answer: bytes
+    address: str, status: int, response_body: bytes
 ) -> bytes | failure_value.Failure:
     if status < 300:
-        return answer
+        return response_body
     code = codes.NOT_FOUND if status == 404 else codes.BAD_MESSAGE
     return failure_value.Failure(
         code=code, reason=f"address: {address} answered {status}"
@@ -92,9 +93,9 @@
 
 
 def decode(
-    answer: bytes | failure_value.Failure, message_type: type[typing.Any]
+    response_body: bytes | failure_value.Failure, message_type: type[typing.Any]
 ) -> typing.Any:
-    """Return the typed message in an answer, or the failure.
+    """Return the typed message in a response body, or the failure.
 
     Examples:
         >>> decode(b"[1, 2]", list[int])
@@ -102,10 +103,10 @@
         >>> decode(b"[1, ", list[int]).code.number
         8003
     """
-    if failure_value.is_failure(answer):
-        return answer
+    if failure_value.is_failure(response_body):
+        return response_body
     try:
-        return msgspec.json.decode(answer, type=message_type)
+        return msgspec.json.decode(response_body, type=message_type)
     except msgspec.MsgspecError as error:
         return failure_value.Failure(
             code=codes.BAD_MESSAGE, reason=f"answer: {error}"
--- a/packages/daisypick_node/src/daisypick_node/http/routes.py
+++ b/packages/daisypick_node/src/daisypick_node/http/routes.py
@@ -1,7 +1,7 @@
-"""Typed calls and replies, and the table of handlers.
+"""Typed calls and replies, and handlers by route.
 
-A part of a process offers ``handlers()``: a mapping from ``Route`` to handler.
-A route ending in ``/`` takes every path below it.
+A component of a process has ``handlers()``, which returns a mapping from
+``Route`` to handler. A route that ends in ``/`` matches every path below it.
 """
 
 from collections.abc import Callable
@@ -22,11 +22,11 @@
 
 
 class Call(typing.NamedTuple):
-    """A call that has arrived.
+    """A received HTTP request.
 
     Attributes:
         method: HTTP method.
-        path: Path without the query, as it was sent.
+        path: Path without the query, not decoded.
         query: The query, without ``?``.
         headers: Headers by lower-case name.
         read_body: Reads the body; a failure if it is too large or slow.
@@ -42,7 +42,7 @@
 
 
 class Reply(typing.NamedTuple):
-    """An answer: a body at once, or an iterable of parts as they come."""
+    """An HTTP response; the body is whole or an iterable of parts."""
 
     status: int
     headers: Headers
@@ -50,7 +50,7 @@
 
 
 class Route(typing.NamedTuple):
-    """A method and a path; a path ending in ``/`` takes all below it."""
+    """A method and a path; a path ending in ``/`` is a prefix."""
 
     method: str
     path: str
@@ -61,7 +61,7 @@
 
 
 class Problem(typing.TypedDict):
-    """A refusal as callers see it (RFC 9457)."""
+    """Problem details of a refusal (RFC 9457)."""
 
     type: str
     code: int
@@ -82,7 +82,7 @@
 
 
 def problem(failure: failure_value.Failure, *, request_id: str = "") -> Problem:
-    """Return a failure as callers see it."""
+    """Return the problem details of a failure."""
     return Problem(
         type=f"urn:daisypick:code:{failure.code.number}",
         code=failure.code.number,
@@ -96,7 +96,7 @@
 def reply_failure(
     failure: failure_value.Failure, *, request_id: str = ""
 ) -> Reply:
-    """Return the refusal that a failure stands for."""
+    """Return the problem response for a failure."""
     body = msgspec.json.encode(problem(failure, request_id=request_id))
     headers = [
         ("Content-Type", PROBLEM),
@@ -109,7 +109,7 @@
 
 
 def find(table: Routes, method: str, path: str) -> Handler | None:
-    """Return the handler of a call: the exact path, else the longest.
+    """Return the handler of the exact path, else of the longest prefix.
 
     Examples:
         >>> table = {Route("GET", "/a/"): len, Route("GET", "/a/b"): abs}
@@ -133,7 +133,7 @@
 
 
 def not_found(call: Call) -> Reply:
-    """Answer a call that no handler takes."""
+    """Return the response to a call that no route matches."""
     return reply_failure(
         failure_value.Failure(
             code=codes.NOT_FOUND, reason=f"path: {call.path} is not served"
--- a/packages/daisypick_node/src/daisypick_node/http/server.py
+++ b/packages/daisypick_node/src/daisypick_node/http/server.py
@@ -1,7 +1,8 @@
-"""One listening socket of a process.
+"""The HTTP server of a process.
 
-Paths below ``/internal/`` answer only processes of the fleet and operators;
-``/metrics`` answers operators. Everything else goes to the handlers.
+Paths below ``/internal/`` and ``/metrics`` require a fleet key; an operator key
+gives access to ``/metrics`` and some internal paths. All other requests go to
+the handlers without a check of keys.
 """
 
 from collections.abc import Callable
@@ -31,8 +32,8 @@
 _SOCKET_KEY = "daisypick.socket"
 _TARGET_KEY = "daisypick.target"
 _READ_SIZE = 65536
-# A router that goes makes all its callers come to the others at once. The
-# library's 256 lets a burst of connections time out unanswered.
+# When a router leaves, all its callers reconnect to the others at once. With
+# the library's default of 256, connections of such a burst time out.
 _BACKLOG = 4096
 
 StartResponse = Callable[[str, list[tuple[str, str]]], object]
@@ -53,13 +54,13 @@
 
 
 class ServerLimits(typing.NamedTuple):
-    """Bounds on what a connection may cost.
+    """Limits on the resources of connections.
 
     Attributes:
-        header_bytes: Size of all headers together.
-        body_bytes: Size of a body.
-        body_seconds: Time for a body to arrive.
-        connections: Connections at once.
+        header_bytes: Maximum size of all headers together.
+        body_bytes: Maximum size of a body.
+        body_seconds: Deadline for the whole body to arrive.
+        connections: Maximum number of concurrent connections.
     """
 
     header_bytes: int = 32_768
@@ -69,7 +70,7 @@
 
 
 class _Handler(pywsgi.WSGIHandler):
-    """Gives the application its socket and sends small parts at once."""
+    """Passes the socket to the application and sets ``TCP_NODELAY``."""
 
     def get_environ(self) -> dict[str, typing.Any]:
         environ = super().get_environ()
@@ -85,7 +86,7 @@
 
 
 class Server:
-    """Serves a table of routes on one address."""
+    """Serves handlers by route on one address."""
 
     def __init__(
         self,
@@ -121,11 +122,11 @@
         return f"{self._server.server_host}:{self._server.server_port}"
 
     def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server.start()
 
     def stop(self, timeout: float) -> None:
-        """Take no new connection; cut open ones after ``timeout`` seconds."""
+        """Stop accepting; close open connections after ``timeout`` seconds."""
         self._server.stop(timeout=timeout)
 
     def _serve(
@@ -134,7 +135,7 @@
         call = self._make_call(environ)
         reply = self._check(call, environ) or self._handle(call)
         if call.path.startswith(INTERNAL) and isinstance(reply.body, bytes):
-            # Answers that stream are service; all else here is control.
+            # Streamed responses are service traffic; all else is control.
             received = int(environ.get("CONTENT_LENGTH") or 0)
             self._count_control(received + len(reply.body))
         reason = _REASON_BY_STATUS.get(reply.status, "Answer")
@@ -197,7 +198,7 @@
     def _read_body(
         self, environ: dict[str, typing.Any]
     ) -> bytes | failure_value.Failure:
-        """Read a body; chunked ones are bounded as they come."""
+        """Read a body; the size limit also applies to chunked bodies."""
         parts: list[bytes] = []
         size = 0
         with gevent.Timeout(self._limits.body_seconds, False):
--- a/packages/daisypick_node/tests/http/test_client.py
+++ b/packages/daisypick_node/tests/http/test_client.py
@@ -6,24 +6,26 @@
 
 @pytest.fixture
 def closing_server():
-    """A server that reads each request and closes without an answer."""
+    """A server that reads each request and closes without a response."""
     received = []
 
-    def close_without_answer(sock, _):
+    def close_without_response(sock, _):
         received.append(sock.recv(65536))
         sock.close()
 
-    server = gevent.server.StreamServer(("127.0.0.1", 0), close_without_answer)
+    server = gevent.server.StreamServer(
+        ("127.0.0.1", 0), close_without_response
+    )
     server.start()
     yield f"127.0.0.1:{server.server_port}", received
     server.stop()
 
 
 @pytest.mark.parametrize("method", ["PUT", "DELETE", "GET", "POST"])
-def test_broken_call_is_sent_once(closing_server, method):
-    # A backend server takes a booking and its connection closes before the
-    # answer. The HTTP library would send PUT, DELETE and GET again by itself;
-    # the booking would run twice although nobody decided to repeat it.
+def test_failed_call_is_sent_once(closing_server, method):
+    # The connection closes after the server has read a request and before it
+    # responds. The HTTP library would resend PUT, DELETE and GET by itself,
+    # and a request that is not repeatable would run twice.
     address, received = closing_server
     pool = client.ClientPool(timeout=5.0)
     with pytest.raises(client.CALL_ERRORS):
@@ -31,15 +33,15 @@
     assert len(received) == 1
 
 
-def test_cut_answer_is_an_error():
-    # The far end dies in the middle of an answer. What has arrived must not
-    # pass for the whole answer.
-    def cut(sock, _):
+def test_truncated_response_is_an_error():
+    # The server closes the connection within a response. The partial body must
+    # not be taken for the whole response.
+    def send_partial_response(sock, _):
         sock.recv(65536)
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
         sock.close()
 
-    server = gevent.server.StreamServer(("127.0.0.1", 0), cut)
+    server = gevent.server.StreamServer(("127.0.0.1", 0), send_partial_response)
     server.start()
     pool = client.ClientPool(timeout=5.0)
     response = pool.request(f"127.0.0.1:{server.server_port}", "GET", "/")
