--- a/packages/daisypick_node/src/daisypick_node/platform/__init__.py
+++ b/packages/daisypick_node/src/daisypick_node/platform/__init__.py
@@ -1,9 +1,9 @@
-"""The platform: objects with versions, the list of VMs, model weights.
+"""Clients of the platform: versioned objects, list of VMs, model weights.
 
-* ``interface``: what a client of the platform offers, and the registry of
-  clients, so that another platform is another registered client.
+* ``interface``: the protocol of a platform client, and the registry of
+  clients; another platform is supported by registering another client.
 * ``http``: the client of the HTTP API in ``docs/PLATFORM_API.md``.
-* ``connections``: connections on which each call is sent once.
-* ``budget``: the process-wide budget of calls.
-* ``counters``: how many calls were made, and what came of them.
+* ``connections``: calls that are sent once and never resent.
+* ``budget``: the process-wide rate limit of calls.
+* ``counters``: counts of calls by outcome.
 """
--- a/packages/daisypick_node/src/daisypick_node/platform/budget.py
+++ b/packages/daisypick_node/src/daisypick_node/platform/budget.py
@@ -1,8 +1,8 @@
-"""The process-wide budget of calls to the platform.
+"""The process-wide rate limit of calls to the platform.
 
-The platform serves the whole fleet at rates that grow more slowly than the
-fleet, so no process may call it as often as it likes. One budget is shared by
-all of a process's calls, whoever makes them.
+The rates at which the platform serves the whole fleet grow more slowly than
+the fleet, so each process limits its calls. All calls of a process share one
+budget.
 
 Examples:
     >>> now = [0.0]
@@ -24,15 +24,15 @@
 
 
 class CallBudget:
-    """A token bucket of calls.
+    """A token bucket for calls.
 
     Args:
-        rate: Calls a second that the process may make for long.
-        burst: Calls that it may make at once.
-        clock: Seconds, monotonic.
+        rate: Sustained calls per second.
+        burst: Maximum number of calls at once.
+        clock: Returns monotonic time in seconds.
 
     Raises:
-        ValueError: ``rate`` or ``burst`` leaves no room for any call.
+        ValueError: ``rate`` or ``burst`` allows no call at all.
     """
 
     def __init__(
@@ -50,10 +50,10 @@
         self._burst = burst
         self._clock = clock
         self._tokens = burst
-        self._at = clock()
+        self._refilled_at = clock()
 
     def try_spend(self) -> bool:
-        """Take one call if there is one."""
+        """Take one token and return whether there was one."""
         self._refill()
         if self._tokens < 1.0:
             return False
@@ -61,12 +61,12 @@
         return True
 
     def seconds_until_next(self) -> float:
-        """Return the seconds until a call is due, 0 if one is now."""
+        """Return the seconds until the next call is allowed, 0 if it is now."""
         self._refill()
         return max(0.0, 1.0 - self._tokens) / self._rate
 
     def _refill(self) -> None:
         now = self._clock()
-        earned = (now - self._at) * self._rate
+        earned = (now - self._refilled_at) * self._rate
         self._tokens = min(self._burst, self._tokens + earned)
-        self._at = now
+        self._refilled_at = now
--- a/packages/daisypick_node/src/daisypick_node/platform/connections.py
+++ b/packages/daisypick_node/src/daisypick_node/platform/connections.py
@@ -1,8 +1,8 @@
-"""Calls to the platform, each sent once and read whole.
+"""Calls to the platform, each sent once and its response read completely.
 
 See Also:
-    ``daisypick_node.http.client``: why no call is ever resent.
-    ``daisypick_node.platform.http``: the calls and what their failures mean.
+    ``daisypick_node.http.client``: why calls are never resent.
+    ``daisypick_node.platform.http``: the calls and their failures.
 """
 
 from collections.abc import Mapping
@@ -11,14 +11,14 @@
 from daisypick_node.http import client as http_client
 
 
-class Answer(typing.NamedTuple):
-    """An answer of the platform, whole.
+class Response(typing.NamedTuple):
+    """A complete response of the platform.
 
     Attributes:
         status: HTTP status.
         etag: Version of the object, without quotes.
-        retry_after: Seconds, if it says so.
-        body: All of it.
+        retry_after: Value of ``Retry-After`` in seconds, if present.
+        body: The whole body.
     """
 
     status: int
@@ -34,13 +34,13 @@
     path: str,
     body: bytes,
     headers: Mapping[str, str],
-) -> Answer:
-    """Send a call and read its whole answer.
+) -> Response:
+    """Send a call and read its whole response.
 
     Raises:
         NotConnectedError: No connection, so nothing was sent.
-        OSError: The connection broke or was silent.
-        HTTPParseError: The answer is malformed or not whole.
+        OSError: The connection failed or timed out.
+        HTTPParseError: The response is malformed or truncated.
     """
     response = pool.request(address, method, path, body=body, headers=headers)
     try:
@@ -49,15 +49,15 @@
             raise ConnectionError("answer: broke off")
     finally:
         http_client.abandon(response)
-    return Answer(
+    return Response(
         status=response.status_code,
         etag=str(response.get("etag", "")).strip('"'),
-        retry_after=_seconds(response.get("retry-after")),
+        retry_after=_parse_seconds(response.get("retry-after")),
         body=content,
     )
 
 
-def _seconds(text: typing.Any) -> float | None:
+def _parse_seconds(text: typing.Any) -> float | None:
     try:
         return float(text)
     except (TypeError, ValueError):
--- a/packages/daisypick_node/src/daisypick_node/platform/counters.py
+++ b/packages/daisypick_node/src/daisypick_node/platform/counters.py
@@ -1,4 +1,4 @@
-"""How many calls were made to the platform, and what came of them.
+"""Counts of calls to the platform by outcome.
 
 Examples:
     >>> counters = CallCounters()
@@ -22,6 +22,6 @@
         self.total_bytes = 0
 
     def add(self, call: str, outcome: str, size: int) -> None:
-        """Count a call and the bytes of its bodies."""
+        """Count a call and the bytes of its request and response bodies."""
         self.count_by_call_and_outcome[call, outcome] += 1
         self.total_bytes += size
--- a/packages/daisypick_node/src/daisypick_node/platform/http.py
+++ b/packages/daisypick_node/src/daisypick_node/platform/http.py
@@ -1,10 +1,10 @@
 """The client of the platform's HTTP API, see ``docs/PLATFORM_API.md``.
 
-What matters is to know of every write whether it surely was not done. A
-connection that could not be had means that nothing was sent; once a byte may
-have left, only an answer tells. ``put`` and ``delete`` therefore fail with
-``PLATFORM_UNAVAILABLE`` in the first case and with ``PLATFORM_ANSWER_LOST``
-in the second.
+Failures of writes distinguish "certainly not applied" from "possibly applied".
+If no connection was established, nothing was sent; once a byte may have been
+sent, only a response shows the outcome. ``put`` and ``delete`` therefore fail
+with ``PLATFORM_UNAVAILABLE`` in the first case and with
+``PLATFORM_ANSWER_LOST`` in the second.
 
 See Also:
     ``daisypick_node.platform.interface``: the calls and their failures.
@@ -29,8 +29,9 @@
 MAX_WATCH_SECONDS = 60.0
 DEFAULT_TIMEOUT = 2.0
 _WATCH_SLACK = 2.0
-# A call spends at most one timeout on its connection and one on sending.
-_STEPS = 3
+# A call takes at most one timeout to connect and one to send; the third is
+# for the response.
+_TIMEOUTS_PER_CALL = 3
 
 
 class _VmEntry(typing.TypedDict):
@@ -53,12 +54,12 @@
 
     Args:
         address: ``host:port`` of the platform.
-        timeout: Seconds for a connection, for sending and for each wait.
-        ca_file: CA file (PEM) to check the platform with; plain if ``None``.
-        budget: The process-wide budget; one of its own if not given.
+        timeout: Timeout in seconds of connecting, sending and each read.
+        ca_file: CA file (PEM) to verify the platform; ``None`` is plain HTTP.
+        budget: The process-wide budget; a new one if not given.
 
     Attributes:
-        counters: What was called and what came of it.
+        counters: Counts of calls by outcome.
 
     Raises:
         ValueError: ``address`` has no port.
@@ -91,15 +92,15 @@
         self, kind: str, name: str
     ) -> interface.StoredObject | failure_value.Failure:
         """Return an object, or a failure ``codes.NOT_FOUND``."""
-        answer = self._call("get", "GET", _object_path(kind, name))
-        if failure_value.is_failure(answer):
-            return answer
-        return _stored(kind, name, answer.etag, answer.body)
+        response = self._call("get", "GET", _object_path(kind, name))
+        if failure_value.is_failure(response):
+            return response
+        return _make_stored_object(kind, name, response.etag, response.body)
 
     def put(
         self, kind: str, name: str, value: bytes, *, if_version: str | None
     ) -> interface.StoredObject | failure_value.Failure:
-        """Write if the version matches; ``None`` asks for a new object."""
+        """Write if the version matches; ``None`` creates a new object."""
         if len(value) > MAX_VALUE_BYTES:
             return failure_value.Failure(
                 code=codes.BAD_VALUE,
@@ -109,24 +110,24 @@
             headers = {"If-None-Match": "*"}
         else:
             headers = {"If-Match": f'"{if_version}"'}
-        answer = self._call(
+        response = self._call(
             "put", "PUT", _object_path(kind, name), value, headers
         )
-        if failure_value.is_failure(answer):
-            return answer
-        return _stored(kind, name, answer.etag, value)
+        if failure_value.is_failure(response):
+            return response
+        return _make_stored_object(kind, name, response.etag, value)
 
     def delete(
         self, kind: str, name: str, *, if_version: str
     ) -> failure_value.Failure | None:
-        """Delete if the version matches; ``None`` means done."""
-        answer = self._call(
+        """Delete if the version matches; return ``None`` on success."""
+        response = self._call(
             "delete",
             "DELETE",
             _object_path(kind, name),
             headers={"If-Match": f'"{if_version}"'},
         )
-        return answer if failure_value.is_failure(answer) else None
+        return response if failure_value.is_failure(response) else None
 
     def list_names(
         self, kind: str, prefix: str
@@ -146,28 +147,28 @@
             {"after": after_version, "timeout": f"{seconds:g}"}
         )
         path = f"/v1/watch/{_quote(kind)}/{_quote(name)}?{query}"
-        answer = self._call("watch", "GET", path, wait=seconds + _WATCH_SLACK)
-        if failure_value.is_failure(answer):
-            return answer
-        if answer.status == 204:
+        response = self._call("watch", "GET", path, wait=seconds + _WATCH_SLACK)
+        if failure_value.is_failure(response):
+            return response
+        if response.status == 204:
             return None
-        return _stored(kind, name, answer.etag, answer.body)
+        return _make_stored_object(kind, name, response.etag, response.body)
 
     def list_vms(self) -> list[interface.Vm] | failure_value.Failure:
-        """Return the lagging list of VMs."""
+        """Return the list of VMs, which may be stale."""
         body = self._call_json("vms", "GET", "/v1/vms", _VmsBody)
         if failure_value.is_failure(body):
             return body
         return [interface.Vm(**entry) for entry in body["vms"]]
 
     def _call_json(
-        self, call: str, method: str, path: str, shape: typing.Any
+        self, call: str, method: str, path: str, body_type: typing.Any
     ) -> typing.Any:
-        answer = self._call(call, method, path)
-        if failure_value.is_failure(answer):
-            return answer
+        response = self._call(call, method, path)
+        if failure_value.is_failure(response):
+            return response
         try:
-            return msgspec.json.decode(answer.body, type=shape)
+            return msgspec.json.decode(response.body, type=body_type)
         except msgspec.DecodeError as error:
             return _unavailable(f"answer of {call}: {error}")
 
@@ -179,8 +180,8 @@
         body: bytes = b"",
         headers: Mapping[str, str] | None = None,
         wait: float | None = None,
-    ) -> connections.Answer | failure_value.Failure:
-        """Make one counted call within the budget."""
+    ) -> connections.Response | failure_value.Failure:
+        """Make a call within the budget and count it."""
         result = self._call_in_budget(call, method, path, body, headers, wait)
         size = len(body)
         outcome = call_counters.OK
@@ -199,7 +200,7 @@
         body: bytes,
         headers: Mapping[str, str] | None,
         wait: float | None,
-    ) -> connections.Answer | failure_value.Failure:
+    ) -> connections.Response | failure_value.Failure:
         if not self._budget.try_spend():
             return failure_value.Failure(
                 code=codes.PLATFORM_BUDGET_SPENT,
@@ -207,31 +208,31 @@
                 retry_after=self._budget.seconds_until_next(),
             )
         pool = self._calls if wait is None else self._watches
-        deadline = self._timeout * _STEPS if wait is None else wait
+        deadline = self._timeout * _TIMEOUTS_PER_CALL if wait is None else wait
         timeout = gevent.Timeout(deadline)
         try:
             with timeout:
-                answer = connections.exchange(
+                response = connections.exchange(
                     pool, self._address, method, path, body, headers or {}
                 )
         except http_client.NotConnectedError as error:
             return _unavailable(f"call {call}: not sent, {error}")
         except http_client.CALL_ERRORS as error:
-            return _unanswered(call, str(error))
+            return _response_lost(call, str(error))
         except gevent.Timeout as error:
             if error is not timeout:
                 raise
-            return _unanswered(call, "no answer in time")
-        return _check_status(call, answer)
+            return _response_lost(call, "no answer in time")
+        return _check_status(call, response)
 
 
 def _check_status(
-    call: str, answer: connections.Answer
-) -> connections.Answer | failure_value.Failure:
-    """Return the answer of a success, else the failure it stands for."""
-    status = answer.status
+    call: str, response: connections.Response
+) -> connections.Response | failure_value.Failure:
+    """Return the response if it is a success, else its failure."""
+    status = response.status
     if 200 <= status < 300:
-        return answer
+        return response
     if status == 404:
         return failure_value.Failure(
             code=codes.NOT_FOUND, reason=f"call {call}: no such object"
@@ -243,13 +244,13 @@
         )
     reason = f"call {call}: status {status}"
     if status >= 500 and status != 503:
-        # A gateway's 500, 502 or 504 says nothing of what the store behind
-        # it did; only 503 is promised to come before any effect.
-        return _unanswered(call, reason)
-    return _unavailable(reason, answer.retry_after)
+        # A gateway's 500, 502 or 504 does not show whether the store behind
+        # it applied the write; only 503 guarantees that it did not.
+        return _response_lost(call, reason)
+    return _unavailable(reason, response.retry_after)
 
 
-def _unanswered(call: str, reason: str) -> failure_value.Failure:
+def _response_lost(call: str, reason: str) -> failure_value.Failure:
     if call not in ("put", "delete"):
         return _unavailable(reason)
     return failure_value.Failure(
@@ -268,7 +269,7 @@
     )
 
 
-def _stored(
+def _make_stored_object(
     kind: str, name: str, version: str, value: bytes
 ) -> interface.StoredObject:
     return interface.StoredObject(
--- a/packages/daisypick_node/src/daisypick_node/platform/interface.py
+++ b/packages/daisypick_node/src/daisypick_node/platform/interface.py
@@ -1,11 +1,11 @@
-"""What a client of the platform offers.
-
-What must last or be agreed goes through the platform's object API: values of
-up to a megabyte with versions, conditional updates and watches. An answer can
-be lost after a write took effect; the client says so with
-``codes.PLATFORM_ANSWER_LOST`` and the caller settles it by reading back.
-Every call counts against a process-wide budget; a spent budget is
-``codes.PLATFORM_BUDGET_SPENT`` and nothing was sent.
+"""The protocol of platform clients, and their registry.
+
+Durable and shared state is stored through the platform's object API: values
+of up to a megabyte with versions, conditional updates and watches. If the
+response is lost after a write may have been applied, the client returns
+``codes.PLATFORM_ANSWER_LOST`` and its caller resolves the outcome by reading
+back. Each call counts against a process-wide budget; if it is exhausted,
+nothing is sent and the call fails with ``codes.PLATFORM_BUDGET_SPENT``.
 """
 
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 
 
 class StoredObject(typing.NamedTuple):
-    """An object as the platform holds it.
+    """An object stored by the platform.
 
     Attributes:
         kind: Kind of the object, e.g. ``"configuration"``.
@@ -34,7 +34,7 @@
 
 
 class Vm(typing.NamedTuple):
-    """An entry of the platform's lagging list of VMs."""
+    """An entry of the platform's list of VMs, which may be stale."""
 
     address: str
     data_centre: str
@@ -51,18 +51,18 @@
     def put(
         self, kind: str, name: str, value: bytes, *, if_version: str | None
     ) -> StoredObject | failure_value.Failure:
-        """Write if the version matches; ``None`` asks for a new object.
+        """Write if the version matches; ``None`` creates a new object.
 
-        Failures: ``PLATFORM_CONFLICT`` (surely not written),
-        ``PLATFORM_UNAVAILABLE`` (surely not written),
-        ``PLATFORM_ANSWER_LOST`` (may be written: read back).
+        Failures: ``PLATFORM_CONFLICT`` (certainly not written),
+        ``PLATFORM_UNAVAILABLE`` (certainly not written),
+        ``PLATFORM_ANSWER_LOST`` (possibly written: read back).
         """
         ...
 
     def delete(
         self, kind: str, name: str, *, if_version: str
     ) -> failure_value.Failure | None:
-        """Delete if the version matches; ``None`` means done."""
+        """Delete if the version matches; return ``None`` on success."""
         ...
 
     def list_names(
@@ -76,12 +76,12 @@
     ) -> StoredObject | failure_value.Failure | None:
         """Wait for a version other than ``after_version``.
 
-        Returns ``None`` when ``timeout`` seconds passed without a change.
+        Returns ``None`` after ``timeout`` seconds without a change.
         """
         ...
 
     def list_vms(self) -> list[Vm] | failure_value.Failure:
-        """Return the lagging list of VMs."""
+        """Return the list of VMs, which may be stale."""
         ...
 
 
@@ -91,7 +91,7 @@
 
 
 def register(name: str) -> Callable[[Factory], Factory]:
-    """Register the client of a platform under a name."""
+    """Return a decorator that registers a platform client by name."""
 
     def _add(factory: Factory) -> Factory:
         by_name[name] = factory
--- a/packages/daisypick_node/tests/platform/test_http.py
+++ b/packages/daisypick_node/tests/platform/test_http.py
@@ -26,7 +26,7 @@
     subject.close()
 
 
-def test_objects(client):
+def test_object_calls_check_versions(client):
     missing = client.get("status", "a/b ü")
     assert missing.code == codes.NOT_FOUND
     first = client.put("status", "a/b ü", b"\x00\xff", if_version=None)
@@ -45,7 +45,7 @@
     assert large.code == codes.BAD_VALUE
 
 
-def test_watch_sees_a_write_and_times_out(platform, client):
+def test_watch_returns_a_write_and_times_out(platform, client):
     first = client.put("root", "r", b"1", if_version=None)
     waiting = gevent.spawn(
         client.watch, "root", "r", after_version=first.version, timeout=30
@@ -62,11 +62,11 @@
 @pytest.mark.parametrize(
     "fault", ["lose_answers", "lose_silently", "server_errors"]
 )
-def test_answer_lost_after_the_write_took_effect(platform, client, fault):
-    # The store writes, then the connection breaks, goes silent or a gateway
-    # answers 500. The library would send the PUT again and read "conflict",
-    # which the caller takes for "surely not written". It must hear
-    # "answer lost", and the platform must have seen one PUT only.
+def test_response_lost_after_a_write_was_applied(platform, client, fault):
+    # The store applies the write, then the connection closes, stops responding
+    # or a gateway returns 500. The library would resend the PUT and get
+    # "conflict", which means "certainly not written". The client must return
+    # "answer lost", and the platform must have received only one PUT.
     platform.set_faults(faults.Faults(**{fault: 1}))
     lost = client.put("claim", "c", b"mine", if_version=None)
     assert lost.code == codes.PLATFORM_ANSWER_LOST
@@ -79,9 +79,9 @@
     assert client.get("claim", "c").code == codes.NOT_FOUND
 
 
-def test_outage_is_surely_not_written(platform, client):
-    # During an outage the platform answers 503, or nobody listens: in both
-    # cases nothing was written, and the client says so.
+def test_write_in_an_outage_is_certainly_not_applied(platform, client):
+    # During an outage the platform returns 503 or refuses connections. In both
+    # cases nothing is written, and the failure must report that.
     platform.set_faults(faults.Faults(outage=faults.UNAVAILABLE))
     refused = client.put("claim", "c", b"mine", if_version=None)
     assert refused.code == codes.PLATFORM_UNAVAILABLE
@@ -102,10 +102,10 @@
     assert client.get("claim", "c").code == codes.NOT_FOUND
 
 
-def test_silent_platform_does_not_wear_out_the_pool(platform, client):
-    # The platform holds every call. Each caller must get its failure, and
-    # the connections of the failed calls must not stay taken: many calls
-    # at once, then one that works.
+def test_unresponsive_platform_does_not_exhaust_the_pool(platform, client):
+    # The platform responds to no call. Each of many concurrent calls must
+    # fail, and their connections must be released, so that a later call
+    # works.
     platform.set_faults(faults.Faults(outage=faults.SILENT))
     calls = [gevent.spawn(client.get, "claim", "c") for _ in range(16)]
     assert {call.get().code for call in calls} == {codes.PLATFORM_UNAVAILABLE}
@@ -113,7 +113,7 @@
     assert client.get("claim", "c").code == codes.NOT_FOUND
 
 
-def test_spent_budget_sends_nothing(platform):
+def test_exhausted_budget_sends_nothing(platform):
     now = [0.0]
     budget = call_budget.CallBudget(rate=1.0, burst=1.0, clock=lambda: now[0])
     client = http.HttpPlatformClient(address=platform.address, budget=budget)
@@ -130,6 +130,6 @@
     }
 
 
-def test_bad_address_is_named():
+def test_invalid_address_is_named_in_the_error():
     with pytest.raises(ValueError, match="address: 'platform'"):
         http.HttpPlatformClient(address="platform")
