--- a/packages/daisypick_node/src/daisypick_node/router/__init__.py
+++ b/packages/daisypick_node/src/daisypick_node/router/__init__.py
@@ -1,12 +1,13 @@
-"""The router: callers' connections and the backlog, as a process.
+"""The router process: callers' connections and the backlog.
 
-A request passes through filters (identify, classify, admit, read, estimate),
-waits in the core dispatcher, is sent to an agent, and its answer is relayed.
+A request passes through filters (identify, admit, read, classify, estimate),
+waits in the core dispatcher and is sent to an agent, whose response is relayed
+to the caller.
 
-* ``process``: the process, composed of the parts below.
-* ``pipeline``: the filters in their order; ``filters``: one a module.
-* ``driver``: carries out what the core dispatcher decides.
-* ``sender``: one attempt's exchange with an agent, resumed if it breaks.
-* ``relay``: an answer on its way to the caller.
-* ``caller_routes``: what callers ask of the router.
+* ``process``: the process, composed of the modules below.
+* ``pipeline``: the filters in order; ``filters``: one module per filter.
+* ``driver``: carries out the actions of the core dispatcher.
+* ``sender``: sends one attempt to an agent and resumes a broken response.
+* ``relay``: buffers a response for the caller.
+* ``caller_routes``: the HTTP API for callers.
 """
--- a/packages/daisypick_node/src/daisypick_node/router/accounting.py
+++ b/packages/daisypick_node/src/daisypick_node/router/accounting.py
@@ -1,4 +1,4 @@
-"""The last filter: what a request was, counted."""
+"""Counts of requests, tokens and refusals."""
 
 import collections
 from collections.abc import Callable
@@ -34,14 +34,14 @@
         )
 
     def opened(self, exchange: exchange_module.Exchange) -> None:
-        """Count a request that was let in."""
+        """Count an admitted request."""
         assert exchange.organisation is not None
         self.request_count += 1
         self._open_by_organisation[exchange.organisation.name] += 1
         self._metrics.requests.add(1)
 
     def first_byte(self, exchange: exchange_module.Exchange) -> None:
-        """Note the time to the first byte of an answer."""
+        """Record the time to the first byte of a response."""
         seconds = self._clock() - exchange.received_at
         self._metrics.first_byte.record(seconds)
 
--- a/packages/daisypick_node/src/daisypick_node/router/caller_routes.py
+++ b/packages/daisypick_node/src/daisypick_node/router/caller_routes.py
@@ -1,6 +1,6 @@
-"""What callers ask of the router.
+"""The HTTP API of the router for callers.
 
-* ``POST /v1/chat/completions``: OpenAI-compatible, streaming or whole.
+* ``POST /v1/chat/completions``: OpenAI-compatible, streamed or not.
 * ``GET /v1/models``: the model services.
 * ``/services/NAME/...``: plain services, any method.
 
@@ -26,23 +26,23 @@
 
 MODELS = "/v1/models"
 REQUEST_ID = "X-Request-Id"
-# A whole answer up to this size is held until its end mark: until then it
-# can be run again elsewhere without the caller noticing.
-HOLD_BYTES = 1_048_576
-_CALLER_GONE = failure_value.Failure(
+# A response that is not streamed is buffered up to this size until its end
+# mark: until then the request can be retried transparently on another server.
+MAX_BUFFERED_BYTES = 1_048_576
+_CALLER_DISCONNECTED = failure_value.Failure(
     code=codes.CALLER_GONE, reason="caller: closed the connection"
 )
 _METHODS = ("GET", "POST", "PUT", "PATCH", "DELETE", "HEAD")
 
 
 class Accounting(typing.Protocol):
-    """Where the end of a request is counted."""
+    """Counts admitted and finished requests."""
 
     def opened(self, exchange: exchange_module.Exchange) -> None:
-        """Count a request that was let in."""
+        """Count an admitted request."""
 
     def first_byte(self, exchange: exchange_module.Exchange) -> None:
-        """Note the first byte of an answer."""
+        """Record the first byte of a response."""
 
     def closed(
         self,
@@ -54,7 +54,7 @@
 
 
 class CallerRoutes:
-    """Handlers of the callers' routes."""
+    """Handlers of the routes for callers."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         self._is_draining = is_draining
 
     def handlers(self) -> routes.Routes:
-        """Return the table of handlers."""
+        """Return the handlers by route."""
         table: dict[routes.Route, routes.Handler] = {
             routes.Route("POST", classify.CHAT): self._serve,
             routes.Route("GET", MODELS): self._serve_models,
@@ -100,15 +100,15 @@
             call=call,
             received_at=self._clock(),
         )
-        result = self._let_in(exchange)
+        result = self._admit(exchange)
         if failure_value.is_failure(result):
             self._accounting.closed(exchange, None, result)
             return self._refuse(exchange, result)
         self._accounting.opened(result)
         relay = self._driver.submit(result)
-        return self._answer(result, relay)
+        return self._respond(result, relay)
 
-    def _let_in(
+    def _admit(
         self, exchange: exchange_module.Exchange
     ) -> exchange_module.Exchange | failure_value.Failure:
         if self._is_draining():
@@ -125,7 +125,11 @@
     def _check_memory(
         self, exchange: exchange_module.Exchange
     ) -> exchange_module.Exchange | failure_value.Failure:
-        """Bound the bodies held: counts alone let large ones fill the VM."""
+        """Refuse a request if the buffered bodies exceed their limit.
+
+        A limit on the number of requests alone would let large bodies use up
+        the memory of the VM.
+        """
         held = self._driver.held_bytes + len(exchange.body)
         if held <= self._held_bytes_limit:
             return exchange
@@ -144,17 +148,19 @@
         reply.headers.append((REQUEST_ID, exchange.request_id))
         return reply
 
-    def _answer(
+    def _respond(
         self, exchange: exchange_module.Exchange, relay: relay_module.Relay
     ) -> routes.Reply:
-        """Wait for the first part of the answer, then stream the rest."""
-        while not _can_begin(relay, is_stream=exchange.is_stream):
+        """Wait for the first part of the response, then stream the rest."""
+        while not _can_start_response(relay, is_stream=exchange.is_stream):
             relay.wait()
-        failure = _CALLER_GONE if relay.is_caller_gone else relay.failure
-        # Nothing has been sent yet: a body that broke off on its way here is
-        # told as a refusal with its reason, not by a cut connection.
-        is_unseen = not (exchange.is_stream and relay.splice.position)
-        if failure is not None and is_unseen:
+        failure = (
+            _CALLER_DISCONNECTED if relay.is_caller_gone else relay.failure
+        )
+        # As long as nothing was sent to the caller, a broken response is
+        # reported as a refusal with its reason, not as an aborted connection.
+        is_unsent = not (exchange.is_stream and relay.splice.position)
+        if failure is not None and is_unsent:
             self._close(exchange, relay, failure)
             return self._refuse(exchange, failure)
         assert relay.head is not None
@@ -186,7 +192,7 @@
     def _stream(
         self, exchange: exchange_module.Exchange, relay: relay_module.Relay
     ) -> Iterator[bytes]:
-        failure: failure_value.Failure | None = _CALLER_GONE
+        failure: failure_value.Failure | None = _CALLER_DISCONNECTED
         try:
             while not (relay.is_over and not relay.pending_size):
                 if relay.is_caller_gone:
@@ -197,7 +203,7 @@
                     relay.wait()
             failure = relay.failure
             if failure is not None:
-                yield from _end_broken(exchange, failure)
+                yield from _report_truncation(exchange, failure)
         finally:
             self._close(exchange, relay, failure)
 
@@ -211,22 +217,22 @@
         self._accounting.closed(exchange, relay, failure)
 
 
-def _can_begin(relay: relay_module.Relay, *, is_stream: bool) -> bool:
+def _can_start_response(relay: relay_module.Relay, *, is_stream: bool) -> bool:
     if relay.is_over or relay.is_caller_gone:
         return True
     if relay.head is None or not relay.pending_size:
         return False
-    return is_stream or relay.pending_size >= HOLD_BYTES
+    return is_stream or relay.pending_size >= MAX_BUFFERED_BYTES
 
 
-def _end_broken(
+def _report_truncation(
     exchange: exchange_module.Exchange, failure: failure_value.Failure
 ) -> Iterator[bytes]:
-    """Tell the caller that the answer is not whole.
+    """Report to the caller that the response is incomplete.
 
-    A stream of events gets an error event and no end mark. For any other body
-    the connection is cut: without its closing chunk, no client takes the part
-    for the whole.
+    A stream of events ends with an error event and without the end mark. For
+    any other body the connection is aborted: without the last chunk, no client
+    accepts the partial body as complete.
     """
     if not exchange.is_stream:
         raise ConnectionAbortedError(failure.reason)
--- a/packages/daisypick_node/src/daisypick_node/router/callers.py
+++ b/packages/daisypick_node/src/daisypick_node/router/callers.py
@@ -1,8 +1,8 @@
-"""Whether a caller is still there.
+"""Detection of callers that have disconnected.
 
-A caller that waits for its answer sends nothing, so its socket becomes
-readable only when it closes the connection. Looking at each socket once a
-second costs less than a timer for every part of every answer.
+A caller that waits for its response sends nothing, so its socket becomes
+readable only when it closes the connection. Polling each socket once a second
+costs less than a timer for every part of every response.
 """
 
 import select
@@ -13,8 +13,8 @@
 CHECK_SECONDS = 1.0
 
 
-def is_gone(sock: gevent.socket.socket | None) -> bool:
-    """Tell whether the caller has closed its connection."""
+def is_disconnected(sock: gevent.socket.socket | None) -> bool:
+    """Return whether the caller has closed its connection."""
     if sock is None:
         return False
     poller = select.poll()
@@ -27,7 +27,7 @@
 
 def _is_closed(sock: gevent.socket.socket) -> bool:
     if hasattr(sock, "pending"):
-        # Under TLS the bytes that make the socket readable may be a record
-        # without data; only a write tells.
+        # Under TLS the socket may be readable because of a record without
+        # application data; only a write shows a closed connection.
         return False
     return sock.recv(1, socket.MSG_PEEK) == b""
--- a/packages/daisypick_node/src/daisypick_node/router/driver.py
+++ b/packages/daisypick_node/src/daisypick_node/router/driver.py
@@ -1,7 +1,7 @@
-"""Carries out what the core dispatcher decides.
+"""Carries out the actions of the core dispatcher.
 
-Actions are handled by registered handlers, one a type; senders report what
-came of them, and the reports go back to the dispatcher as events.
+Each type of action has a registered handler. Senders report the outcomes, which
+are passed to the dispatcher as events.
 """
 
 from collections.abc import Callable
@@ -47,19 +47,19 @@
 _log = logs.PartLog("router.driver")
 
 
-class _Held(typing.NamedTuple):
-    """A request that the router holds."""
+class _OpenRequest(typing.NamedTuple):
+    """A request that is not finished, and its response."""
 
     exchange: exchange_module.Exchange
     relay: relay_module.Relay
 
 
 class DispatchDriver:
-    """Drives one dispatcher.
+    """Passes events to one dispatcher and carries out its actions.
 
     Attributes:
         dispatcher: The core's dispatcher.
-        held_bytes: Bytes of the bodies of held requests.
+        held_bytes: Total size of the bodies of open requests.
     """
 
     def __init__(
@@ -84,21 +84,21 @@
         self._address = address
         self._note_contact = note_contact
         self._record = record
-        self._held_by_request: dict[str, _Held] = {}
+        self._open_by_request: dict[str, _OpenRequest] = {}
         self.held_bytes = 0
         self._next_check = 0.0
         self._sender_by_attempt: dict[str, gevent.Greenlet] = {}
 
     @property
     def held_count(self) -> int:
-        """Requests that the router holds."""
-        return len(self._held_by_request)
+        """Number of open requests."""
+        return len(self._open_by_request)
 
     def submit(self, exchange: exchange_module.Exchange) -> relay_module.Relay:
-        """Take in a request and return its answer, which grows."""
+        """Submit a request and return the relay that receives its response."""
         relay = relay_module.Relay()
         request_id = exchange.request_id
-        self._held_by_request[request_id] = _Held(
+        self._open_by_request[request_id] = _OpenRequest(
             exchange=exchange, relay=relay
         )
         self.held_bytes += len(exchange.body)
@@ -108,57 +108,57 @@
         return relay
 
     def release(self, request_id: str) -> None:
-        """Forget a request; cancel it if it is not over."""
-        held = self._held_by_request.pop(request_id, None)
-        if held is None:
+        """Remove a request; cancel it if it is not finished."""
+        open_request = self._open_by_request.pop(request_id, None)
+        if open_request is None:
             return
-        self.held_bytes -= len(held.exchange.body)
-        held.relay.release()
-        if not held.relay.is_over:
+        self.held_bytes -= len(open_request.exchange.body)
+        open_request.relay.release()
+        if not open_request.relay.is_over:
             self._note(request_id, "cancelled: caller is gone")
             self.perform(self.dispatcher.cancel(request_id, self._clock()))
 
     def set_agents(
         self, addresses: Iterable[core_dispatcher.AgentAddress]
     ) -> None:
-        """Take the agents of a new configuration."""
+        """Set the agents of a new configuration."""
         self.perform(self.dispatcher.set_agents(addresses, self._clock()))
 
     def tick(self) -> None:
-        """Let time pass; look which callers have gone."""
+        """Check for disconnected callers and advance the dispatcher."""
         now = self._clock()
         if now >= self._next_check:
             self._next_check = now + callers.CHECK_SECONDS
-            self._look_at_callers()
+            self._check_callers()
         self.perform(self.dispatcher.tick(self._clock()))
 
-    def hear(self, agent: str, load: load_message.Load) -> None:
-        """Take an agent's load."""
+    def record_load(self, agent: str, load: load_message.Load) -> None:
+        """Record an agent's load."""
         self._note_contact(agent, load.generation)
         self.perform(self.dispatcher.record_load(agent, load, self._clock()))
 
     def hinted(
         self, attempt_id: str, agent: str, load: load_message.Load
     ) -> None:
-        """Learn that an attempt waits while another agent is idle."""
+        """Record that an attempt waits while another agent is idle."""
         self.perform(
             self.dispatcher.hinted(attempt_id, agent, load, self._clock())
         )
 
     def started(self, attempt_id: str) -> None:
-        """Note that an attempt runs."""
+        """Record that an attempt has started."""
         self.perform(self.dispatcher.started(attempt_id, self._clock()))
 
     def first_token(self, attempt_id: str) -> None:
-        """Note the first token of an answer."""
+        """Record the first token of a response."""
         self.dispatcher.first_token(attempt_id, self._clock())
 
     def finished(self, attempt_id: str) -> None:
-        """Note that a whole answer is there."""
+        """Record that the response is complete."""
         self.perform(self.dispatcher.finished(attempt_id, self._clock()))
 
     def returned(self, attempt_id: str, failure: failure_value.Failure) -> None:
-        """Note that an attempt never ran and never will."""
+        """Record that an attempt did not run and never will."""
         self._note_attempt(attempt_id, f"returned: {failure.code.number}")
         self.perform(
             self.dispatcher.returned(attempt_id, failure, self._clock())
@@ -171,7 +171,7 @@
         *,
         is_answered: bool = False,
     ) -> None:
-        """Note that an attempt may have run and has no whole answer."""
+        """Record that an attempt without a full response may have run."""
         self._note_attempt(attempt_id, f"broken: {failure.code.number}")
         self.perform(
             self.dispatcher.broken(
@@ -180,16 +180,16 @@
         )
 
     def perform(self, due: Iterable[actions.Action]) -> None:
-        """Carry actions out in order."""
+        """Carry out actions in order."""
         for action in due:
             _perform(action, self)
 
     def dispatch(self, action: actions.Dispatch) -> None:
         """Send an attempt."""
         attempt = action.attempt
-        held = self._held_by_request.get(attempt.request_id)
-        if held is None:
-            # The dispatcher must not keep a place for what nobody sends.
+        open_request = self._open_by_request.get(attempt.request_id)
+        if open_request is None:
+            # Frees the slot that the dispatcher reserved for the request.
             self.perform(
                 self.dispatcher.cancel(attempt.request_id, self._clock())
             )
@@ -200,30 +200,33 @@
             attempt_id=attempt.attempt_id,
             agent=action.agent,
         )
-        subject = sender.Sender(
-            parcel=self._pack(action, held.exchange),
-            relay=held.relay,
+        attempt_sender = sender.Sender(
+            encoded=self._encode_attempt(action, open_request.exchange),
+            relay=open_request.relay,
             pool=self._pool,
             peers=self._peers,
             fleet_key=self._fleet_key,
             events=self,
         )
         self._sender_by_attempt[attempt.attempt_id] = gevent.spawn(
-            self._run_sender, subject
+            self._run_sender, attempt_sender
         )
 
     def withdraw(self, action: actions.Withdraw) -> None:
-        """Ask an agent to bar an attempt; its stream tells the outcome."""
+        """Ask an agent to withdraw an attempt.
+
+        The outcome arrives on the stream of the attempt.
+        """
         gevent.spawn(
             self._peers.call,
             action.agent,
             "POST",
             attempt_routes.WITHDRAW,
-            _name(action.attempt),
+            _to_naming(action.attempt),
         )
 
     def cancel(self, action: actions.Cancel) -> None:
-        """Tell an agent that nobody waits for an attempt."""
+        """Ask an agent to cancel an attempt whose caller disconnected."""
         greenlet = self._sender_by_attempt.pop(action.attempt.attempt_id, None)
         if greenlet is not None:
             greenlet.kill(block=False)
@@ -232,40 +235,40 @@
             action.agent,
             "POST",
             attempt_routes.CANCEL,
-            _name(action.attempt),
+            _to_naming(action.attempt),
         )
 
     def fail(self, action: actions.Fail) -> None:
-        """Give a caller its final answer."""
+        """Fail a request with its final failure."""
         self._note(action.request_id, f"failed: {action.failure.code.number}")
-        held = self._held_by_request.get(action.request_id)
-        if held is not None:
-            held.relay.fail(action.failure)
+        open_request = self._open_by_request.get(action.request_id)
+        if open_request is not None:
+            open_request.relay.fail(action.failure)
 
-    def _look_at_callers(self) -> None:
-        for held in self._held_by_request.values():
-            if callers.is_gone(held.exchange.call.sock):
-                held.relay.leave()
+    def _check_callers(self) -> None:
+        for open_request in self._open_by_request.values():
+            if callers.is_disconnected(open_request.exchange.call.sock):
+                open_request.relay.record_disconnect()
 
-    def _run_sender(self, subject: sender.Sender) -> None:
+    def _run_sender(self, attempt_sender: sender.Sender) -> None:
         try:
-            subject.run()
+            attempt_sender.run()
         except Exception as error:
-            # Without this a fault in our own code would leave the caller
-            # waiting for good; the attempt may have run.
-            _log.say("Fails to send.", error=repr(error))
+            # Without this, an exception in the sender would leave the caller
+            # waiting forever; the attempt may have run.
+            _log.say("Sender failed.", error=repr(error))
             self.broken(
-                subject.attempt.attempt_id,
+                attempt_sender.attempt.attempt_id,
                 failure_value.Failure(
                     code=codes.OUTCOME_UNKNOWN, reason="router: fault"
                 ),
             )
         finally:
-            self._sender_by_attempt.pop(subject.attempt.attempt_id, None)
+            self._sender_by_attempt.pop(attempt_sender.attempt.attempt_id, None)
 
-    def _pack(
+    def _encode_attempt(
         self, action: actions.Dispatch, exchange: exchange_module.Exchange
-    ) -> sender.Parcel:
+    ) -> sender.EncodedAttempt:
         envelope = attempt_message.to_envelope(
             action.attempt._replace(router=self._address()),
             self._clock(),
@@ -278,7 +281,7 @@
                 if name not in _HIDDEN_HEADERS
             ],
         )
-        return sender.Parcel(
+        return sender.EncodedAttempt(
             attempt=action.attempt,
             agent=action.agent,
             envelope=msgspec.json.encode(envelope),
@@ -293,7 +296,7 @@
         self._note(request_id, event, attempt_id=attempt_id)
 
 
-def _name(attempt: attempt_message.Attempt) -> attempt_routes.Naming:
+def _to_naming(attempt: attempt_message.Attempt) -> attempt_routes.Naming:
     return attempt_routes.Naming(
         attempt_id=attempt.attempt_id, epoch=attempt.epoch
     )
--- a/packages/daisypick_node/src/daisypick_node/router/exchange.py
+++ b/packages/daisypick_node/src/daisypick_node/router/exchange.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way through the filters."""
+"""A caller's request and the context of the filters."""
 
 import collections
 from collections.abc import Callable
@@ -9,23 +9,23 @@
 
 
 class Exchange(typing.NamedTuple):
-    """A caller's request; each filter fills in a part.
+    """A caller's request; each filter fills in some fields.
 
     Attributes:
         request_id: Unique id, made by the router.
-        call: The call as it arrived.
+        call: The received HTTP request.
         received_at: Time of arrival.
-        organisation: Who pays.
-        service: What is asked for.
-        path: Path that the backend server shall see.
+        organisation: The organisation that the request is charged to.
+        service: The requested service.
+        path: Path that is sent to the backend server.
         body: The body.
         is_stream: Whether the caller asked for a stream.
-        is_repeatable: Whether a second run does no harm.
-        idempotency_key: The caller's key, if it matters.
+        is_repeatable: Whether the request may safely run twice.
+        idempotency_key: The caller's key, if the request is not repeatable.
         estimate: Expected cost, tokens.
-        prefix: Hash of the prompt's beginning.
+        prefix: Hash of the beginning of the prompt.
         fingerprint: Hash of method, path and body.
-        deadline: Time by which it must start.
+        deadline: Time by which the request must start.
     """
 
     request_id: str
@@ -45,12 +45,12 @@
 
 
 class Context(typing.NamedTuple):
-    """What the filters look up.
+    """State that the filters read.
 
     Attributes:
-        configuration: Returns the configuration in force.
+        configuration: Returns the active configuration.
         organisation_by_hash: Organisation names by hash of their keys.
-        open_by_organisation: Requests that are open here.
+        open_by_organisation: Number of open requests at this router.
         request_timeout: Time within which a request must start, seconds.
     """
 
--- a/packages/daisypick_node/src/daisypick_node/router/filters/__init__.py
+++ b/packages/daisypick_node/src/daisypick_node/router/filters/__init__.py
@@ -1,8 +1,8 @@
-"""The filters that a request passes, one a module.
+"""The filters of a request, one module per filter.
 
-* ``identify``: which organisation is calling.
-* ``admit``: whether it may have one more request open.
-* ``read``: the body, within bounds.
-* ``classify``: which service, and whether a second run does harm.
-* ``estimate``: expected cost and the prompt's prefix.
+* ``identify``: finds the organisation by its key.
+* ``admit``: limits the open requests of an organisation.
+* ``read``: reads the body within limits of size and time.
+* ``classify``: finds the service, and whether the request is repeatable.
+* ``estimate``: estimates the cost and hashes the prompt's prefix.
 """
--- a/packages/daisypick_node/src/daisypick_node/router/filters/admit.py
+++ b/packages/daisypick_node/src/daisypick_node/router/filters/admit.py
@@ -1,4 +1,4 @@
-"""Bound the requests that an organisation has open at this router."""
+"""Limits the open requests of an organisation at this router."""
 
 from daisypick_core.results import codes
 from daisypick_core.results import failure as failure_value
@@ -8,7 +8,7 @@
 def apply(
     exchange: exchange_module.Exchange, context: exchange_module.Context
 ) -> exchange_module.Exchange | failure_value.Failure:
-    """Refuse before body and queue memory are spent on a flood."""
+    """Refuse excess requests before they use body and queue memory."""
     organisation = exchange.organisation
     assert organisation is not None
     open_count = context.open_by_organisation[organisation.name]
--- a/packages/daisypick_node/src/daisypick_node/router/filters/classify.py
+++ b/packages/daisypick_node/src/daisypick_node/router/filters/classify.py
@@ -1,4 +1,4 @@
-"""Find the service, and whether a second run does harm."""
+"""Finds the service, and whether the request is repeatable."""
 
 import posixpath
 import urllib.parse
@@ -18,7 +18,7 @@
 
 
 class ChatRequest(msgspec.Struct):
-    """The part of a chat completion request that the router reads."""
+    """The fields of a chat completion request that the router reads."""
 
     model: str
     messages: msgspec.Raw
@@ -97,11 +97,12 @@
 
 
 def _normalise(path: str) -> str:
-    """Return the path that most servers take a path for.
+    """Return a path in the normal form that most servers use.
 
-    A caller that writes ``//bookings`` or ``/%62ookings`` reaches the same
-    call; matched to the letter it would pass for repeatable, and a booking
-    be run twice. The backend server still gets the path as it was sent.
+    ``//bookings`` and ``/%62ookings`` reach the same call as ``/bookings``. If
+    paths were compared literally, such a call would be classified as repeatable
+    and a booking could run twice. The backend server still gets the path as it
+    was sent.
 
     Examples:
         >>> _normalise("/%62ookings"), _normalise("//x/.././bookings/")
@@ -112,18 +113,18 @@
 
 
 def _deadline(
-    exchange: exchange_module.Exchange, longest: float
+    exchange: exchange_module.Exchange, max_timeout: float
 ) -> float | failure_value.Failure:
     text = exchange.call.headers.get(TIMEOUT_HEADER)
     if text is None:
-        return exchange.received_at + longest
+        return exchange.received_at + max_timeout
     try:
         seconds = float(text)
     except ValueError:
         seconds = 0.0
     if not seconds > 0:
         return _bad_request(f"{TIMEOUT_HEADER}: {text!r} is not above 0")
-    return exchange.received_at + min(seconds, longest)
+    return exchange.received_at + min(seconds, max_timeout)
 
 
 def _unknown_service(name: str) -> failure_value.Failure:
--- a/packages/daisypick_node/src/daisypick_node/router/filters/estimate.py
+++ b/packages/daisypick_node/src/daisypick_node/router/filters/estimate.py
@@ -1,4 +1,4 @@
-"""Expected cost of a request, and the prefix of its prompt."""
+"""Estimates the cost of a request and hashes the prefix of its prompt."""
 
 import xxhash
 
@@ -7,15 +7,15 @@
 from daisypick_node.router import exchange as exchange_module
 from daisypick_node.router.filters import classify
 
-CHARACTERS_A_TOKEN = 4
-DEFAULT_COMPLETION = 256
+CHARACTERS_PER_TOKEN = 4
+DEFAULT_COMPLETION_TOKENS = 256
 PREFIX_BYTES = 512
 
 
 def apply(
     exchange: exchange_module.Exchange, context: exchange_module.Context
 ) -> exchange_module.Exchange | failure_value.Failure:
-    """Fill in estimate and prefix; a plain call costs one unit."""
+    """Fill in estimate and prefix; a plain request costs one unit."""
     del context
     assert exchange.service is not None
     if exchange.service.kind != model.MODEL:
@@ -23,9 +23,10 @@
     chat = classify.read_chat(exchange.body)
     if failure_value.is_failure(chat):
         return chat
-    prompt = len(chat.messages) / CHARACTERS_A_TOKEN
+    prompt = len(chat.messages) / CHARACTERS_PER_TOKEN
     completion = chat.max_completion_tokens or chat.max_tokens
     prefix = xxhash.xxh3_64_hexdigest(bytes(chat.messages)[:PREFIX_BYTES])
     return exchange._replace(
-        estimate=prompt + (completion or DEFAULT_COMPLETION), prefix=prefix
+        estimate=prompt + (completion or DEFAULT_COMPLETION_TOKENS),
+        prefix=prefix,
     )
--- a/packages/daisypick_node/src/daisypick_node/router/filters/identify.py
+++ b/packages/daisypick_node/src/daisypick_node/router/filters/identify.py
@@ -1,4 +1,4 @@
-"""Find the organisation by the hash of its key."""
+"""Finds the organisation by the hash of its key."""
 
 import hashlib
 
@@ -13,8 +13,8 @@
 ) -> exchange_module.Exchange | failure_value.Failure:
     """Fill in the organisation.
 
-    The table is looked up by the key's hash, so neither a key nor the time of
-    a comparison can leak.
+    The lookup by the hash of the key stores no plain keys and leaks nothing
+    about them by the time of a comparison.
     """
     configuration = context.configuration()
     if configuration.generation == 0:
--- a/packages/daisypick_node/src/daisypick_node/router/filters/read.py
+++ b/packages/daisypick_node/src/daisypick_node/router/filters/read.py
@@ -1,4 +1,4 @@
-"""Read the body, within bounds of size and time."""
+"""Reads the body within limits of size and time."""
 
 import xxhash
 
--- a/packages/daisypick_node/src/daisypick_node/router/organisation_index.py
+++ b/packages/daisypick_node/src/daisypick_node/router/organisation_index.py
@@ -1,13 +1,13 @@
-"""Organisations by the hash of their keys, kept up to date by differences.
+"""Organisations by the hash of their keys, updated incrementally.
 
-A change of one organisation among 22,000 leaves all other entries the very
-same objects; only entries that are other objects are looked at. To build the
-index anew at each of 12,000 changes a day would hold up every stream of the
-router, which has one loop.
+A change of one organisation among 22,000 keeps the objects of all others, so
+only entries whose object differs are processed. Rebuilding the index at each
+of 12,000 changes a day would delay every stream of the router, which has a
+single event loop.
 
 Examples:
     >>> index = OrganisationIndex()
-    >>> index.take({"union": model.Organisation("union", key_hashes=("a",))})
+    >>> index.update({"union": model.Organisation("union", key_hashes=("a",))})
     >>> index.name_by_hash, index.max_queued_by_name
     ({'a': 'union'}, {'union': 512})
 """
@@ -18,39 +18,41 @@
 
 
 class OrganisationIndex:
-    """What a router looks up for each request.
+    """Organisations and queue bounds, looked up for each request.
 
     Attributes:
         name_by_hash: Name of the organisation by SHA-256 of a key.
-        max_queued_by_name: Bound on waiting requests by organisation.
+        max_queued_by_name: Maximum number of queued requests by organisation.
     """
 
     def __init__(self) -> None:
         self.name_by_hash: dict[str, str] = {}
         self.max_queued_by_name: dict[str, int] = {}
-        self._taken: Mapping[str, model.Organisation] = {}
+        self._indexed: Mapping[str, model.Organisation] = {}
 
-    def take(self, organisations: Mapping[str, model.Organisation]) -> None:
-        """Take the organisations of a new configuration."""
-        taken = self._taken
-        come = [
+    def update(self, organisations: Mapping[str, model.Organisation]) -> None:
+        """Index the organisations of a new configuration."""
+        indexed = self._indexed
+        changed = [
             organisation
             for name, organisation in organisations.items()
-            if taken.get(name) is not organisation
+            if indexed.get(name) is not organisation
         ]
-        gone = [taken[name] for name in taken.keys() - organisations.keys()]
-        replaced = [taken[one.name] for one in come if one.name in taken]
-        # All old hashes go before any new one comes: a key may have moved
-        # from one organisation to another.
-        for organisation in (*gone, *replaced):
-            self._forget(organisation)
-        for organisation in come:
+        removed = [
+            indexed[name] for name in indexed.keys() - organisations.keys()
+        ]
+        replaced = [indexed[one.name] for one in changed if one.name in indexed]
+        # All old hashes are removed before any new one is added, because a
+        # key may have moved from one organisation to another.
+        for organisation in (*removed, *replaced):
+            self._remove(organisation)
+        for organisation in changed:
             self.max_queued_by_name[organisation.name] = organisation.max_queued
             for key_hash in organisation.key_hashes:
                 self.name_by_hash[key_hash] = organisation.name
-        self._taken = organisations
+        self._indexed = organisations
 
-    def _forget(self, organisation: model.Organisation) -> None:
+    def _remove(self, organisation: model.Organisation) -> None:
         del self.max_queued_by_name[organisation.name]
         for key_hash in organisation.key_hashes:
             self.name_by_hash.pop(key_hash, None)
--- a/packages/daisypick_node/src/daisypick_node/router/pipeline.py
+++ b/packages/daisypick_node/src/daisypick_node/router/pipeline.py
@@ -1,7 +1,8 @@
-"""The filters in their order.
+"""The filters in order.
 
-A request is refused as early as it can be: before its body is read if its
-organisation is unknown or floods, before it is queued if it is malformed.
+A request is refused as early as possible: before its body is read if its
+organisation is unknown or has too many open requests, and before it is queued
+if it is malformed.
 """
 
 from collections.abc import Callable
@@ -31,7 +32,7 @@
 def run(
     exchange: exchange_module.Exchange, context: exchange_module.Context
 ) -> exchange_module.Exchange | failure_value.Failure:
-    """Pass a request through all filters, or return why it is refused."""
+    """Apply all filters to a request; return the first failure, if any."""
     for apply in FILTERS:
         result = apply(exchange, context)
         if failure_value.is_failure(result):
--- a/packages/daisypick_node/src/daisypick_node/router/process.py
+++ b/packages/daisypick_node/src/daisypick_node/router/process.py
@@ -1,4 +1,4 @@
-"""The router as a process: ``daisypickd router``."""
+"""The router process, ``daisypickd router``."""
 
 import collections
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 
 class RouterProcess(process.Process):
-    """Callers' connections and backlog."""
+    """The router: callers' connections and the backlog."""
 
     kind = "router"
     settings: settings_module.RouterSettings
@@ -40,7 +40,7 @@
             timeout=settings.progress_timeout, ca_file=settings.tls_ca or None
         )
         self._organisations = organisation_index.OrganisationIndex()
-        self._taken = model.EMPTY
+        self._applied = model.EMPTY
         self._open_by_organisation: collections.Counter[str] = (
             collections.Counter()
         )
@@ -69,7 +69,7 @@
         )
 
     def handlers(self) -> routes.Routes:
-        """Return the router's table of handlers."""
+        """Return the router's handlers by route."""
         context = exchange_module.Context(
             configuration=lambda: self.configuration,
             organisation_by_hash=self._organisations.name_by_hash,
@@ -87,11 +87,11 @@
         return callers.handlers()
 
     def server_limits(self) -> server_module.ServerLimits:
-        """Return the bounds on callers' connections."""
+        """Return the limits of callers' connections."""
         return server_module.ServerLimits(body_bytes=self.settings.body_bytes)
 
     def on_start(self) -> None:
-        """Watch the backlog."""
+        """Register the metrics of the backlog."""
         dispatcher = self.driver.dispatcher
         self.metrics.watch(
             "queued", "Requests that wait.", lambda: dispatcher.queued_count
@@ -103,38 +103,38 @@
         )
 
     def on_tick(self) -> None:
-        """Let time pass at the dispatcher."""
+        """Advance the dispatcher."""
         self.driver.tick()
 
     def on_configuration(self) -> None:
-        """Take organisations' keys and the agents, if they changed.
+        """Apply the sections of the configuration that have changed.
 
-        A change of one organisation leaves the other sections the very same
-        objects. Taking 3,300 agents anew at each of 12,000 changes a day
-        would hold up every stream of the router.
+        A change of one organisation keeps the objects of the other sections.
+        Setting 3,300 agents again at each of 12,000 changes a day would delay
+        every stream of the router.
         """
-        configuration, taken = self.configuration, self._taken
-        self._taken = configuration
+        configuration, applied = self.configuration, self._applied
+        self._applied = configuration
         if (
             configuration.organisations_by_name
-            is not taken.organisations_by_name
+            is not applied.organisations_by_name
         ):
-            self._take_organisations()
+            self._apply_organisations()
         if (
             configuration.backend_servers_by_name
-            is not taken.backend_servers_by_name
+            is not applied.backend_servers_by_name
             or configuration.data_centres_by_name
-            is not taken.data_centres_by_name
+            is not applied.data_centres_by_name
         ):
-            self._take_agents()
+            self._apply_agents()
 
-    def _take_organisations(self) -> None:
-        self._organisations.take(self.configuration.organisations_by_name)
+    def _apply_organisations(self) -> None:
+        self._organisations.update(self.configuration.organisations_by_name)
         self.driver.dispatcher.set_queue_bounds(
             self._organisations.max_queued_by_name
         )
 
-    def _take_agents(self) -> None:
+    def _apply_agents(self) -> None:
         configuration = self.configuration
         addresses = [
             core_dispatcher.AgentAddress(
@@ -151,11 +151,11 @@
         self._pool.keep_only(frozenset(entry.address for entry in addresses))
 
     def on_drain(self) -> None:
-        """Refuse new requests; finish those it holds."""
+        """Refuse new requests and finish the open ones."""
         self.driver.dispatcher.close()
 
     def is_idle(self) -> bool:
-        """Tell whether the router holds no request."""
+        """Return whether no request is open."""
         return self.driver.held_count == 0
 
     def stop(self) -> None:
@@ -164,7 +164,7 @@
         self._pool.close()
 
     def describe(self) -> dict[str, typing.Any]:
-        """Return the backlog's state for a dump."""
+        """Return the state of the backlog for a dump."""
         dispatcher = self.driver.dispatcher
         return {
             "held": self.driver.held_count,
--- a/packages/daisypick_node/src/daisypick_node/router/relay.py
+++ b/packages/daisypick_node/src/daisypick_node/router/relay.py
@@ -1,8 +1,7 @@
-"""An answer on its way to the caller.
+"""Buffers the response of a request between senders and the caller.
 
-A sender puts in what comes from agents; the caller's greenlet takes out what
-has arrived, all together. Only bytes that the caller has not seen come out,
-over however many attempts.
+Senders add what agents send; the caller's greenlet takes all buffered bytes at
+once. Each byte is passed on once, also if several attempts send it.
 """
 
 import typing
@@ -14,26 +13,27 @@
 from daisypick_core.results import failure as failure_value
 from daisypick_core.routing import splice
 
-# A caller that reads slowly holds the agent back instead of filling memory.
+# Backpressure: above this size, a sender waits for a slow caller instead of
+# filling memory.
 HIGH_WATER_BYTES = 1_048_576
 
 
 class Usage(typing.NamedTuple):
-    """Tokens of a whole answer."""
+    """Token counts of a complete response."""
 
     prompt_tokens: int
     completion_tokens: int
 
 
 class Relay:
-    """One request's answer.
+    """The response of one request.
 
     Attributes:
         head: Status and headers, once known.
-        failure: Final failure, if there is one.
-        usage: Tokens, once the answer is whole.
-        is_caller_gone: Whether the caller has closed its connection.
-        splice: What the caller has been given.
+        failure: Final failure, if the request failed.
+        usage: Token counts, once the response is complete.
+        is_caller_gone: Whether the caller has disconnected.
+        splice: Position of the caller in the response.
     """
 
     def __init__(self) -> None:
@@ -44,20 +44,20 @@
         self.splice = splice.Splice()
         self._pending = bytearray()
         self._changed = gevent.event.Event()
-        self._room = gevent.event.Event()
-        self._room.set()
+        self._has_capacity = gevent.event.Event()
+        self._has_capacity.set()
 
     @property
     def is_over(self) -> bool:
-        """Whether nothing more will be put in."""
+        """Whether the response is complete or has failed."""
         return self.failure is not None or self.usage is not None
 
-    def begin(self) -> None:
-        """Note that a new attempt's answer begins."""
+    def start_attempt(self) -> None:
+        """Expect the response of a new attempt from its first byte."""
         self.splice.restart()
 
     def put_head(self, detail: frame.Detail) -> failure_value.Failure | None:
-        """Take status and headers; a failure if they differ from the seen."""
+        """Set status and headers; fail if the caller got another status."""
         if self.head is not None and self.splice.position:
             if self.head["status"] != detail["status"]:
                 return failure_value.Failure(
@@ -69,19 +69,19 @@
         return None
 
     def put_data(self, part: frame.Frame) -> failure_value.Failure | None:
-        """Take bytes; a failure if they do not continue what was seen."""
-        self._room.wait()
+        """Add bytes; fail if they differ from those sent to the caller."""
+        self._has_capacity.wait()
         new = self.splice.accept(part.offset, part.data)
         if failure_value.is_failure(new):
             return new
         self._pending += new
         if len(self._pending) > HIGH_WATER_BYTES:
-            self._room.clear()
+            self._has_capacity.clear()
         self._changed.set()
         return None
 
     def finish(self, detail: frame.Detail) -> failure_value.Failure | None:
-        """Take the end mark; a failure if the answer is not whole."""
+        """Handle the end mark; fail if the response is incomplete."""
         if not self.splice.is_whole(detail["size"]):
             return failure_value.Failure(
                 code=codes.ANSWER_BROKEN, reason="size: bytes are missing"
@@ -94,33 +94,33 @@
         return None
 
     def fail(self, failure: failure_value.Failure) -> None:
-        """Give the caller its final answer: a failure."""
+        """Set the final failure unless the response is complete."""
         if not self.is_over:
             self.failure = failure
             self._changed.set()
 
-    def leave(self) -> None:
-        """Note that the caller has gone."""
+    def record_disconnect(self) -> None:
+        """Record that the caller has disconnected."""
         self.is_caller_gone = True
         self._changed.set()
 
     def wait(self) -> None:
-        """Wait for a change."""
+        """Wait until the state changes."""
         self._changed.wait()
         self._changed.clear()
 
     def take(self) -> bytes:
-        """Return the bytes that have arrived."""
+        """Remove and return the buffered bytes."""
         data = bytes(self._pending)
         self._pending.clear()
-        self._room.set()
+        self._has_capacity.set()
         return data
 
     @property
     def pending_size(self) -> int:
-        """Bytes that wait to be taken."""
+        """Number of buffered bytes."""
         return len(self._pending)
 
     def release(self) -> None:
-        """Let a waiting sender go on; nobody takes any more."""
-        self._room.set()
+        """Unblock a waiting sender; nothing will be read any more."""
+        self._has_capacity.set()
--- a/packages/daisypick_node/src/daisypick_node/router/sender.py
+++ b/packages/daisypick_node/src/daisypick_node/router/sender.py
@@ -1,9 +1,10 @@
-"""One attempt's exchange with an agent.
+"""Sends one attempt to an agent and relays the response.
 
-The answer comes as frames. A connection that breaks or stays silent (agents
-send a beat each second) is replaced by a fresh one, and the answer goes on
-from the byte reached. If the agent does not know the attempt, it is asked to
-bar it, and only then is the attempt reported as "not run".
+The response arrives as frames. A connection that fails or times out (agents
+send a heartbeat each second) is replaced by a new one, and the response is
+resumed at the byte reached. If the agent does not know the attempt, the agent
+is asked to withdraw it, which prevents it from running later, and only then is
+it reported as "not run".
 """
 
 from collections.abc import Callable
@@ -24,36 +25,37 @@
 from daisypick_node.http import peers as peers_module
 from daisypick_node.router import relay as relay_module
 
-# Pauses before each try to resume, seconds. What may be repeated is soon run
-# elsewhere: when a data centre falls silent its callers wait for these pauses
-# and a connect timeout each. What may not be repeated has no other way to its
-# answer, so it is asked for longer, past a short pause of the agent's VM.
-REPEATABLE_PAUSES = (0.0, 0.3)
-ONCE_PAUSES = (0.0, 0.2, 0.5, 1.0, 2.0, 4.0)
+# Delays before each retry to resume, seconds. A repeatable request is soon run
+# on another server: if a data centre becomes unreachable, its callers wait for
+# these delays plus a connect timeout each. A request that is not repeatable
+# can get its response only by resuming, so it is retried for longer than a
+# short pause of the agent's VM.
+REPEATABLE_RETRY_DELAYS = (0.0, 0.3)
+NON_REPEATABLE_RETRY_DELAYS = (0.0, 0.2, 0.5, 1.0, 2.0, 4.0)
 
 
 class Events(typing.Protocol):
-    """Where a sender reports what came of its attempt."""
+    """Receives the events of an attempt from its sender."""
 
-    def hear(self, agent: str, load: load_message.Load) -> None:
-        """Take an agent's load."""
+    def record_load(self, agent: str, load: load_message.Load) -> None:
+        """Record an agent's load."""
 
     def hinted(
         self, attempt_id: str, agent: str, load: load_message.Load
     ) -> None:
-        """Learn that the attempt waits while another agent is idle."""
+        """Record that the attempt waits while another agent is idle."""
 
     def started(self, attempt_id: str) -> None:
-        """Note that the attempt runs."""
+        """Record that the attempt has started."""
 
     def first_token(self, attempt_id: str) -> None:
-        """Note the first token of the answer."""
+        """Record the first token of the response."""
 
     def finished(self, attempt_id: str) -> None:
-        """Note that the whole answer is there."""
+        """Record that the response is complete."""
 
     def returned(self, attempt_id: str, failure: failure_value.Failure) -> None:
-        """Note that the attempt never ran and never will."""
+        """Record that the attempt did not run and never will."""
 
     def broken(
         self,
@@ -62,11 +64,11 @@
         *,
         is_answered: bool = False,
     ) -> None:
-        """Note that the attempt may have run and has no whole answer."""
+        """Record that the attempt without a full response may have run."""
 
 
-class Parcel(typing.NamedTuple):
-    """An attempt packed for its agent."""
+class EncodedAttempt(typing.NamedTuple):
+    """An attempt with its encoded envelope and body, and its agent."""
 
     attempt: attempt_message.Attempt
     agent: str
@@ -87,22 +89,22 @@
 
 
 class Sender:
-    """Sends one attempt and relays its answer."""
+    """Sends one attempt and relays its response."""
 
     def __init__(
         self,
         *,
-        parcel: Parcel,
+        encoded: EncodedAttempt,
         relay: relay_module.Relay,
         pool: client.ClientPool,
         peers: peers_module.Peers,
         fleet_key: str,
         events: Events,
     ) -> None:
-        self.attempt = parcel.attempt
+        self.attempt = encoded.attempt
         self.relay = relay
         self.events = events
-        self._parcel = parcel
+        self._encoded = encoded
         self._pool = pool
         self._peers = peers
         self._headers = {"Authorization": f"Bearer {fleet_key}"}
@@ -111,11 +113,11 @@
     @property
     def agent(self) -> str:
         """Address of the agent."""
-        return self._parcel.agent
+        return self._encoded.agent
 
     def run(self) -> None:
-        """Carry the exchange to its end and report it."""
-        self.relay.begin()
+        """Send the attempt, relay its response and report the outcome."""
+        self.relay.start_attempt()
         try:
             self._response = self._open()
         except client.NotConnectedError as error:
@@ -133,13 +135,13 @@
     def _open(self) -> client.Response:
         headers = {
             **self._headers,
-            "Daisypick-Envelope": self._parcel.envelope.decode(),
+            "Daisypick-Envelope": self._encoded.envelope.decode(),
         }
         return self._pool.request(
             self.agent,
             "POST",
             attempt_routes.ATTEMPTS,
-            body=self._parcel.body,
+            body=self._encoded.body,
             headers=headers,
         )
 
@@ -149,7 +151,7 @@
             self._response = None
 
     def _read_to_end(self) -> bool:
-        """Handle frames; return whether the exchange is settled."""
+        """Handle frames; return whether the outcome was reported."""
         if self._response is None:
             return False
         if self._response.status_code != 200:
@@ -164,25 +166,29 @@
         return False
 
     def _resume(self) -> bool:
-        """Get a fresh connection to the answer; settle if there is none."""
+        """Reconnect to the response; report the outcome if that fails."""
         self._close()
         self._pool.forget(self.agent)
         is_repeatable = self.attempt.is_repeatable
-        for pause in REPEATABLE_PAUSES if is_repeatable else ONCE_PAUSES:
-            gevent.sleep(pause)
+        for delay in (
+            REPEATABLE_RETRY_DELAYS
+            if is_repeatable
+            else NON_REPEATABLE_RETRY_DELAYS
+        ):
+            gevent.sleep(delay)
             try:
-                response = self._ask_rest()
+                response = self._request_rest()
             except client.CALL_ERRORS:
                 continue
             if response.status_code == 200:
                 self._response = response
                 return True
             client.abandon(response)
-            return self._settle_unknown()
+            return self._withdraw_unknown()
         self._report_lost("agent: cannot be reached")
         return False
 
-    def _ask_rest(self) -> client.Response:
+    def _request_rest(self) -> client.Response:
         attempt_id = urllib.parse.quote(self.attempt.attempt_id)
         path = f"{attempt_routes.ATTEMPTS}/{attempt_id}"
         return self._pool.request(
@@ -192,10 +198,10 @@
             headers=self._headers,
         )
 
-    def _settle_unknown(self) -> bool:
-        """Have an attempt barred that the agent has no answer of."""
+    def _withdraw_unknown(self) -> bool:
+        """Withdraw an attempt that the agent has no response of."""
         attempt_id = self.attempt.attempt_id
-        answer = self._peers.call(
+        response_body = self._peers.call(
             self.agent,
             "POST",
             attempt_routes.WITHDRAW,
@@ -203,17 +209,17 @@
                 attempt_id=attempt_id, epoch=self.attempt.epoch
             ),
         )
-        status = peers_module.decode(answer, attempt_routes.Status)
+        status = peers_module.decode(response_body, attempt_routes.Status)
         if failure_value.is_failure(status):
             self._report_lost(status.reason)
             return False
-        self.events.hear(self.agent, status["load"])
+        self.events.record_load(self.agent, status["load"])
         if status["load"].incarnation != self.attempt.incarnation:
-            # The agent has restarted: its new start knows nothing of the
-            # attempt, which may have run before. "Not run" would be a guess.
+            # The restarted agent has no record of the attempt, which may have
+            # run before the restart, so "not run" cannot be claimed.
             self._report_lost("agent: has restarted")
         elif status["ran"]:
-            self.events.broken(attempt_id, _lost("answer: no longer kept"))
+            self.events.broken(attempt_id, _unknown("answer: no longer kept"))
         else:
             self.events.returned(
                 attempt_id,
@@ -224,14 +230,15 @@
         return False
 
     def _report_lost(self, reason: str) -> None:
-        """Report an attempt of which no agent can tell."""
+        """Report an attempt whose outcome cannot be determined."""
         attempt_id = self.attempt.attempt_id
         if self.attempt.incarnation:
-            self.events.broken(attempt_id, _lost(reason))
+            self.events.broken(attempt_id, _unknown(reason))
             return
         # A router's first attempt at an agent carries no incarnation, and
-        # every start of the agent refuses it: it never ran. Told as unknown,
-        # a booking would be lost to a connection that failed at first sight.
+        # the agent refuses it in every incarnation, so it did not run.
+        # Reported as unknown, a request that is not repeatable would fail
+        # only because the first connection to the agent failed.
         self.events.returned(
             attempt_id,
             failure_value.Failure(code=codes.ENGINE_UNREACHABLE, reason=reason),
@@ -245,26 +252,26 @@
         yield from parts
 
 
-def _hear_load(sender: Sender, part: frame.Frame) -> None:
+def _record_load(sender: Sender, part: frame.Frame) -> None:
     if part.detail is not None and "load" in part.detail:
-        sender.events.hear(sender.agent, part.detail["load"])
+        sender.events.record_load(sender.agent, part.detail["load"])
 
 
 @_handles(frame.QUEUED)
 def _handle_queued(sender: Sender, part: frame.Frame) -> bool:
-    _hear_load(sender, part)
+    _record_load(sender, part)
     return False
 
 
 @_handles(frame.STARTED)
 def _handle_started(sender: Sender, part: frame.Frame) -> bool:
-    _hear_load(sender, part)
+    _record_load(sender, part)
     sender.events.started(sender.attempt.attempt_id)
     return False
 
 
 @_handles(frame.HEARTBEAT)
-def _handle_beat(sender: Sender, part: frame.Frame) -> bool:
+def _handle_heartbeat(sender: Sender, part: frame.Frame) -> bool:
     if part.detail is not None and "idle_agent" in part.detail:
         sender.events.hinted(
             sender.attempt.attempt_id,
@@ -290,7 +297,7 @@
 @_handles(frame.END)
 def _handle_end(sender: Sender, part: frame.Frame) -> bool:
     assert part.detail is not None
-    _hear_load(sender, part)
+    _record_load(sender, part)
     failure = sender.relay.finish(part.detail)
     if failure is None:
         sender.events.finished(sender.attempt.attempt_id)
@@ -301,7 +308,7 @@
 @_handles(frame.REFUSED)
 def _handle_refused(sender: Sender, part: frame.Frame) -> bool:
     assert part.detail is not None
-    _hear_load(sender, part)
+    _record_load(sender, part)
     failure = failure_value.Failure(
         code=codes.by_number.get(part.detail["code"], codes.OUTCOME_UNKNOWN),
         reason=part.detail["reason"],
@@ -325,7 +332,7 @@
     return True
 
 
-def _lost(reason: str) -> failure_value.Failure:
+def _unknown(reason: str) -> failure_value.Failure:
     return failure_value.Failure(code=codes.OUTCOME_UNKNOWN, reason=reason)
 
 
--- a/packages/daisypick_node/tests/router/test_organisation_index.py
+++ b/packages/daisypick_node/tests/router/test_organisation_index.py
@@ -4,7 +4,7 @@
 from daisypick_core.configuration import model
 from daisypick_node.router import organisation_index
 
-# Which organisation has each key, if any, in one configuration after another.
+# The organisation of each key hash in successive configurations.
 OWNERS = strategies.lists(
     strategies.dictionaries(
         strategies.sampled_from("abcdef"), strategies.sampled_from("uvwx")
@@ -28,12 +28,12 @@
 
 @hypothesis.settings(derandomize=True, deadline=None)
 @hypothesis.given(OWNERS)
-def test_index_is_that_of_the_latest_configuration(steps):
-    # Keys move, are rotated and vanish with their organisations. A revoked
-    # key that stayed in the index would go on to work.
+def test_index_matches_the_latest_configuration(steps):
+    # Keys move between organisations, are rotated and are removed with their
+    # organisation. A revoked key left in the index would still be accepted.
     index = organisation_index.OrganisationIndex()
     for step, owner_by_hash in enumerate(steps):
         organisations = make_organisations(owner_by_hash, step)
-        index.take(organisations)
+        index.update(organisations)
         assert index.name_by_hash == owner_by_hash
         assert index.max_queued_by_name == dict.fromkeys(organisations, step)
