--- a/packages/daisypick_node/src/daisypick_node/__init__.py
+++ b/packages/daisypick_node/src/daisypick_node/__init__.py
@@ -2,8 +2,9 @@
 
 * ``main``: the binary ``daisypickd``.
 * ``settings``: flags and environment variables, checked.
-* ``logs``, ``metrics``: what a process tells of itself.
-* ``http``: server, client and peers' calls, thin over the libraries.
+* ``logs``, ``metrics``: structured logs and Prometheus metrics.
+* ``http``: server, client and calls between processes, as thin wrappers of
+  the libraries.
 * ``platform``: clients of the platform.
 * ``router``, ``agent``: the two kinds of process.
 """
--- a/packages/daisypick_node/src/daisypick_node/logs.py
+++ b/packages/daisypick_node/src/daisypick_node/logs.py
@@ -1,7 +1,7 @@
-"""Structured logs by ``eliot``: short sentences, a fixed prefix a part.
+"""Structured logs by ``eliot``: short sentences, one fixed prefix per part.
 
-Keys and callers' texts are never passed to a log; a request is named by its
-id, an organisation by its name.
+Keys and texts of callers are never logged. A request is identified by its id,
+an organisation by its name.
 """
 
 import sys
@@ -30,5 +30,5 @@
 
 
 def write_to_stdout() -> None:
-    """Send the logs of this process to standard output, a line each."""
+    """Write the logs of this process to standard output, one per line."""
     eliot.to_file(sys.stdout)
--- a/packages/daisypick_node/src/daisypick_node/main.py
+++ b/packages/daisypick_node/src/daisypick_node/main.py
@@ -51,7 +51,7 @@
     process_class: type[process_module.Process]
 
     def handle(self) -> int:
-        """Run the process until it is told to stop."""
+        """Run the process until a signal stops it."""
         given = {
             name: self.option(name.replace("_", "-"))
             for name in self.settings_class.model_fields
@@ -106,24 +106,27 @@
 
 
 def run_until_signal(process: process_module.Process) -> None:
-    """Run a process; a first SIGTERM or SIGINT drains it, a second cuts."""
-    told = gevent.event.Event()
-    cut = gevent.event.Event()
+    """Run a process until SIGTERM or SIGINT.
 
-    def _hear() -> None:
-        if told.is_set():
-            cut.set()
-        told.set()
+    The first signal drains the process, a second one stops it at once.
+    """
+    drain_requested = gevent.event.Event()
+    stop_requested = gevent.event.Event()
+
+    def _handle_signal() -> None:
+        if drain_requested.is_set():
+            stop_requested.set()
+        drain_requested.set()
 
     for number in (signal.SIGTERM, signal.SIGINT):
-        gevent.signal_handler(number, _hear)
+        gevent.signal_handler(number, _handle_signal)
     process.start()
     sys.stderr.write(f"listening on {process.address}\n")
     sys.stderr.flush()
-    told.wait()
+    drain_requested.wait()
     _log.say("Drains.", address=process.address)
     draining = gevent.spawn(process.drain)
-    gevent.wait([draining, cut], count=1)
+    gevent.wait([draining, stop_requested], count=1)
     process.stop()
     _log.say("Stops.", address=process.address)
 
--- a/packages/daisypick_node/src/daisypick_node/metrics.py
+++ b/packages/daisypick_node/src/daisypick_node/metrics.py
@@ -1,8 +1,8 @@
-"""Metrics by OpenTelemetry, readable by Prometheus on each process.
+"""OpenTelemetry metrics of a process, exported in the Prometheus format.
 
-Label sets are bounded: organisations are labelled by name only for the top
-ones, the rest is ``"other"``, since 22,000 organisations would make a page of
-megabytes at every scrape.
+Label sets are bounded: only the organisations with the largest values get a
+label of their own, the others are summed under ``"other"``. With 22,000
+organisations, each scrape would otherwise return megabytes.
 """
 
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 class ProcessMetrics:
-    """The instruments of one process."""
+    """The metric instruments of one process."""
 
     def __init__(self, *, part: str) -> None:
         self._registry = prometheus_client.CollectorRegistry()
@@ -54,7 +54,7 @@
     def watch(
         self, name: str, description: str, read: Callable[[], float]
     ) -> None:
-        """Report a value that is read at each scrape."""
+        """Register a gauge whose value is read at each scrape."""
         self._meter.create_observable_gauge(
             f"daisypick_{self._part}_{name}",
             callbacks=[lambda _: [metrics_api.Observation(read())]],
@@ -64,7 +64,7 @@
     def watch_total(
         self, name: str, description: str, read: Callable[[], float]
     ) -> None:
-        """Report a total that only grows, read at each scrape."""
+        """Register a monotonic counter whose value is read at each scrape."""
         self._meter.create_observable_counter(
             f"daisypick_{self._part}_{name}",
             callbacks=[lambda _: [metrics_api.Observation(read())]],
@@ -77,7 +77,7 @@
         description: str,
         read: Callable[[], Mapping[str, float]],
     ) -> None:
-        """Report values by organisation: the top ones and ``"other"``."""
+        """Register a gauge by organisation: the largest and ``"other"``."""
 
         def _observe(_: object) -> list[metrics_api.Observation]:
             return [
@@ -94,11 +94,11 @@
         )
 
     def page(self) -> bytes:
-        """Return the page that Prometheus reads."""
+        """Return the metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self._registry)
 
     def close(self) -> None:
-        """Release the instruments."""
+        """Shut the metrics provider down."""
         self._provider.shutdown()
 
 
--- a/packages/daisypick_node/src/daisypick_node/process.py
+++ b/packages/daisypick_node/src/daisypick_node/process.py
@@ -1,7 +1,7 @@
-"""What router and agent have in common as processes.
+"""The base class of the router and agent processes.
 
-Each serves health, metrics, a dump of its state and the explanation of a
-request, keeps the configuration in force, and drains before it stops.
+Each process serves health checks, metrics, a dump of its state and the recorded
+events of a request, follows the configuration, and drains before it stops.
 """
 
 from collections.abc import Callable
@@ -38,7 +38,7 @@
 
 
 class Process:
-    """The common part of router and agent."""
+    """Base class of the router and agent processes."""
 
     kind = "process"
 
@@ -97,20 +97,20 @@
         return self.settings.advertise or self._server.address
 
     def install(self, configuration: model.Configuration) -> None:
-        """Put a configuration in force unless it is not newer."""
+        """Activate a configuration if it is newer than the active one."""
         if configuration.generation <= self.configuration.generation:
             return
         self.configuration = configuration
         self.on_configuration()
-        _log.say("Puts a configuration in force.", generation=self.generation)
+        _log.say("Activated a configuration.", generation=self.generation)
 
     @property
     def generation(self) -> int:
-        """Generation of the configuration in force."""
+        """Generation of the active configuration."""
         return self.configuration.generation
 
     def start(self) -> None:
-        """Listen and start the background work."""
+        """Start the server and the background greenlets."""
         files = (self.settings.tls_certificate, self.settings.tls_key)
         self._server = server_module.Server(
             listen=self.settings.listen,
@@ -126,7 +126,7 @@
             count_control=self.peers.traffic.count,
         )
         self._server.start()
-        self._watch_process()
+        self._register_metrics()
         self.on_start()
         self.follower.start(self.address)
         self.spawn(self._tick_forever)
@@ -134,15 +134,15 @@
         _log.say("Listens.", part=self.kind, address=self.address)
 
     def note_contact(self, peer: str, generation: int) -> None:
-        """Learn that a peer has a generation."""
+        """Record a contact with a peer and its configuration generation."""
         self.follower.note_contact(peer, generation)
 
     def spawn(self, work: Callable[..., None], *arguments: object) -> None:
-        """Start a greenlet that ends with the process."""
+        """Start a greenlet that is killed when the process stops."""
         self._greenlets.append(gevent.spawn(work, *arguments))
 
     def drain(self) -> None:
-        """Take nothing new; wait for what runs, up to the timeout."""
+        """Refuse new work and wait for running work, up to the timeout."""
         self.is_draining = True
         self.on_drain()
         deadline = self.clock() + self.settings.drain_timeout
@@ -150,7 +150,7 @@
             gevent.sleep(TICK_SECONDS)
 
     def stop(self) -> None:
-        """Stop at once; ``drain`` first to cut nothing."""
+        """Stop at once; call ``drain`` first to finish running work."""
         self.follower.stop()
         gevent.killall(self._greenlets)
         if self._server is not None:
@@ -159,36 +159,36 @@
         self.metrics.close()
 
     def handlers(self) -> routes.Routes:
-        """Return the table of this kind of process."""
+        """Return the handlers by route of this kind of process."""
         raise NotImplementedError
 
     def server_limits(self) -> server_module.ServerLimits:
-        """Return the bounds on connections."""
+        """Return the limits of the server's connections."""
         return server_module.ServerLimits()
 
     def on_start(self) -> None:
-        """Start the work of this kind of process."""
+        """Start the background work of this kind of process."""
 
     def on_tick(self) -> None:
-        """Let time pass."""
+        """Do the periodic work, once per ``TICK_SECONDS``."""
 
     def on_configuration(self) -> None:
-        """Take the configuration in force."""
+        """Apply the active configuration."""
 
     def on_leaving(self) -> None:
-        """Learn that the platform takes this process's VM."""
+        """Drain, since the platform is about to remove this VM."""
         self.is_draining = True
         self.on_drain()
 
     def on_drain(self) -> None:
-        """Start nothing new."""
+        """Stop accepting new work."""
 
     def is_idle(self) -> bool:
-        """Tell whether nothing runs or waits."""
+        """Return whether no work is running or queued."""
         raise NotImplementedError
 
     def is_ready(self) -> bool:
-        """Tell whether the process takes work."""
+        """Return whether the process accepts work."""
         return not self.is_draining and self.generation > 0
 
     def describe(self) -> dict[str, typing.Any]:
@@ -200,7 +200,7 @@
             gevent.sleep(TICK_SECONDS)
             self.on_tick()
 
-    def _watch_process(self) -> None:
+    def _register_metrics(self) -> None:
         traffic = self.peers.traffic
         self.metrics.watch(
             "generation",
--- a/packages/daisypick_node/src/daisypick_node/settings.py
+++ b/packages/daisypick_node/src/daisypick_node/settings.py
@@ -1,8 +1,8 @@
-"""Settings of the processes: flags first, then environment variables.
+"""Settings of the processes, from flags and environment variables.
 
-Each field of a settings class is a flag (``--fleet-keys``) and a variable
-(``DAISYPICK_FLEET_KEYS``). All faults are listed at once, by name. Secrets
-are masked in dumps and logs.
+Each field of a settings class is a flag (``--fleet-keys``) and an environment
+variable (``DAISYPICK_FLEET_KEYS``); flags take precedence. All invalid settings
+are reported at once, by name. Secrets are masked in dumps and logs.
 """
 
 from collections.abc import Mapping
@@ -30,7 +30,7 @@
 
 
 class ProcessSettings(pydantic_settings.BaseSettings):
-    """Settings that every process has."""
+    """Settings that all processes share."""
 
     model_config = pydantic_settings.SettingsConfigDict(
         env_prefix=PREFIX, extra="forbid"
@@ -54,13 +54,13 @@
     )
     platform_ca: str = pydantic.Field(
         default="",
-        description="CA file (PEM) to check the platform with; plain HTTP "
-        "without.",
+        description="CA file (PEM) to verify the platform's certificate; plain "
+        "HTTP if not set.",
     )
     platform_calls_per_second: float = pydantic.Field(
         default=20.0,
         gt=0,
-        description="Budget of calls to the platform, calls a second.",
+        description="Rate limit of calls to the platform, calls per second.",
     )
     fleet_keys: Keys = pydantic.Field(
         description="Fleet keys, comma-separated: the first is sent, all "
@@ -71,7 +71,7 @@
     )
     seeds: str = pydantic.Field(
         default="",
-        description="Addresses of processes to learn from at start, "
+        description="Addresses of processes to contact at start, "
         "comma-separated.",
     )
     tls_certificate: str = pydantic.Field(
@@ -81,7 +81,8 @@
         default="", description="Key file (PEM) of this process."
     )
     tls_ca: str = pydantic.Field(
-        default="", description="CA file (PEM) to check peers with."
+        default="",
+        description="CA file (PEM) to verify the certificates of peers.",
     )
     allow_plain: bool = pydantic.Field(
         default=False,
@@ -90,7 +91,8 @@
     progress_timeout: float = pydantic.Field(
         default=3.0,
         gt=0,
-        description="Silence after which a connection is given up, seconds.",
+        description="Time without a byte after which a connection is closed, "
+        "seconds.",
     )
     drain_timeout: float = pydantic.Field(
         default=600.0,
@@ -121,16 +123,18 @@
     )
     pick_policy: str = pydantic.Field(
         default="prefix_affinity",
-        description="Registered pick policy.",
+        description="Registered policy that picks an agent.",
     )
     body_bytes: int = pydantic.Field(
-        default=8_388_608, gt=0, description="Largest body of a request, bytes."
+        default=8_388_608,
+        gt=0,
+        description="Maximum size of a request body, bytes.",
     )
 
     held_bytes: int = pydantic.Field(
         default=268_435_456,
         gt=0,
-        description="Bodies that a router holds at once, bytes.",
+        description="Maximum total size of buffered request bodies, bytes.",
     )
 
 
@@ -138,36 +142,37 @@
     """Settings of ``daisypickd agent``."""
 
     name: str = pydantic.Field(
-        min_length=1, description="Name of the backend server beside it."
+        min_length=1,
+        description="Name of the backend server that the agent fronts.",
     )
     gather_seconds: float = pydantic.Field(
         default=0.04,
         ge=0,
         le=0.05,
-        description="Time for which a stream's tokens are gathered, seconds.",
+        description="Time for which tokens of a stream are batched, seconds.",
     )
     engine_timeout: float = pydantic.Field(
         default=30.0,
         gt=0,
-        description="Silence after which the backend server is given up, "
-        "seconds.",
+        description="Time without a byte after which a call to the backend "
+        "server fails, seconds.",
     )
     keep_answer_seconds: float = pydantic.Field(
         default=120.0,
         gt=0,
-        description="Time for which finished answers are kept, seconds.",
+        description="Time for which finished responses are kept, seconds.",
     )
     keep_answer_bytes: int = pydantic.Field(
         default=67_108_864,
         gt=0,
-        description="Memory for finished answers, bytes.",
+        description="Memory for finished responses, bytes.",
     )
 
 
 def load(
     settings_class: type[ProcessSettings], flags: Mapping[str, str]
 ) -> ProcessSettings | list[failure_value.Failure]:
-    """Return the checked settings, or all faults.
+    """Return the validated settings, or a failure per invalid setting.
 
     Examples:
         >>> faults = load(RouterSettings, {"listen": "here"})
@@ -200,5 +205,5 @@
 
 
 def describe(settings: ProcessSettings) -> dict[str, typing.Any]:
-    """Return the settings for a dump, secrets masked."""
+    """Return the settings for a dump, with secrets masked."""
     return settings.model_dump(mode="json")
