--- a/packages/daisypick_node/tests/fleet.py
+++ b/packages/daisypick_node/tests/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet for tests: real processes on loopback in one loop."""
+"""A small fleet for tests: real processes on loopback in one event loop."""
 
 import hashlib
 import json
@@ -30,10 +30,10 @@
 
 
 class FakeEngine:
-    """An engine whose behaviour is a function set by the test.
+    """An engine whose behaviour is a WSGI application given by the test.
 
-    ``answer(environ, start_response)`` is a WSGI application; ``calls`` are
-    the bodies that arrived.
+    ``answer(environ, start_response)`` is the application; ``calls`` holds
+    the received bodies.
     """
 
     def __init__(self, answer):
@@ -54,17 +54,17 @@
 
 
 class CuttingEngine:
-    """An engine that reads each call, sends some bytes and hangs up."""
+    """An engine that reads each call, sends ``sends`` and disconnects."""
 
     def __init__(self, service, sends=b""):
         self.service = service
         self.calls = []
         self._sends = sends
-        self._server = server.StreamServer(("127.0.0.1", 0), self._cut)
+        self._server = server.StreamServer(("127.0.0.1", 0), self._disconnect)
         self._server.start()
         self.address = f"127.0.0.1:{self._server.server_port}"
 
-    def _cut(self, sock, _):
+    def _disconnect(self, sock, _):
         self.calls.append(sock.recv(65536))
         sock.sendall(self._sends)
         sock.close()
@@ -74,7 +74,7 @@
 
 
 def answer_stream(*events):
-    """Return an engine's answer that streams events and the end mark."""
+    """Return an application that streams events and the end mark."""
 
     def _answer(environ, start_response):
         start_response("200 OK", [("Content-Type", "text/event-stream")])
@@ -85,7 +85,7 @@
 
 
 def answer_plain(body=b"done", status="200 OK"):
-    """Return a plain service's answer."""
+    """Return an application that sends one body, as a plain service."""
 
     def _answer(environ, start_response):
         start_response(status, [("Content-Length", str(len(body)))])
@@ -95,7 +95,7 @@
 
 
 class Fleet:
-    """A platform, routers, and an agent for each engine."""
+    """A platform, routers, and one agent per engine."""
 
     def __init__(
         self,
@@ -220,7 +220,7 @@
 
 
 def wait_until(condition, seconds=10.0):
-    """Wait for a condition; fail if it does not come true."""
+    """Wait until a condition is true; fail after ``seconds``."""
     with gevent.Timeout(seconds):
         while not condition():
             gevent.sleep(0.01)
--- a/packages/daisypick_node/tests/test_metrics_page.py
+++ b/packages/daisypick_node/tests/test_metrics_page.py
@@ -5,7 +5,7 @@
 OPERATOR = {"Authorization": "Bearer operator-key-1"}
 
 
-def test_pages_show_service_refusals_and_control():
+def test_metrics_show_requests_refusals_and_control_traffic():
     engine = fleet_module.make_engine(fleet_module.answer_stream("a", "b"))
     fleet = fleet_module.Fleet([engine])
     answer = fleet.call("POST", fleet_module.CHAT, fleet_module.BODY)
@@ -20,7 +20,9 @@
     agent = fleet.agents[0].metrics.page().decode()
     assert 'daisypick_agent_service_tokens{organisation="union"}' in agent
     request_id = answer.get("x-request-id")
-    told = fleet.call("GET", f"/internal/explain/{request_id}", **OPERATOR)
-    events = [event["event"] for event in json.loads(told.read())["events"]]
+    explained = fleet.call("GET", f"/internal/explain/{request_id}", **OPERATOR)
+    events = [
+        event["event"] for event in json.loads(explained.read())["events"]
+    ]
     assert events[:2] == ["submitted", "sent"]
     fleet.stop()
--- a/packages/daisypick_node/tests/test_path.py
+++ b/packages/daisypick_node/tests/test_path.py
@@ -17,7 +17,7 @@
         fleet.stop()
 
 
-def test_stream_arrives_whole(make_fleet):
+def test_stream_is_relayed_completely(make_fleet):
     engine = fleet_module.make_engine(fleet_module.answer_stream("a", "b"))
     fleet = make_fleet(engine)
     response = fleet.call("POST", fleet_module.CHAT, fleet_module.BODY)
@@ -25,7 +25,7 @@
     assert response.read() == b"data: a\n\ndata: b\n\ndata: [DONE]\n\n"
 
 
-def test_plain_call_passes_method_path_and_body(make_fleet):
+def test_plain_call_is_relayed_with_its_body(make_fleet):
     engine = fleet_module.make_engine(
         fleet_module.answer_plain(b"\x00\xff"), service="desk"
     )
@@ -73,7 +73,7 @@
     assert b"fleet-key-1" not in dump
 
 
-def test_router_refuses_bodies_beyond_its_memory(make_fleet):
+def test_router_refuses_bodies_above_its_memory_limit(make_fleet):
     engine = fleet_module.make_engine(fleet_module.answer_plain())
     fleet = make_fleet(engine, router_settings={"held_bytes": 10})
     refused = fleet.call("POST", fleet_module.CHAT, fleet_module.BODY)
@@ -82,9 +82,9 @@
     assert engine.calls == []
 
 
-def test_request_moves_from_a_data_centre_that_goes_out(make_fleet):
-    # The data centre of the only free server goes out. Requests that come
-    # after are answered by the other one; none is cut or refused.
+def test_requests_avoid_a_data_centre_out_of_service(make_fleet):
+    # A data centre is taken out of service. Later requests are served by the
+    # other one, and none is interrupted or refused.
     engines = [
         fleet_module.make_engine(fleet_module.answer_stream(str(n)))
         for n in range(2)
@@ -101,9 +101,10 @@
     assert engines[0].calls == []
 
 
-def test_failing_server_is_left_for_another(make_fleet):
-    # One engine falls over in its cold start and answers 500. The request is
-    # repeatable, so it runs elsewhere and the caller sees only the answer.
+def test_request_fails_over_from_a_failing_server(make_fleet):
+    # One engine returns 500, as engines do that crash in their cold start. The
+    # request is repeatable, so it is retried on the other engine and the caller
+    # sees only that response.
     engines = [
         fleet_module.make_engine(
             fleet_module.answer_plain(b"no", "500 Internal Server Error")
@@ -122,9 +123,10 @@
 @pytest.mark.parametrize(
     "path", ["/bookings", "/%62ookings", "/./bookings", "/a/../bookings/x"]
 )
-def test_no_spelling_of_a_booking_passes_for_repeatable(make_fleet, path):
-    # A caller spells the path of a booking in another way, and the desk's
-    # connection breaks. Taken for repeatable it would be sent again.
+def test_path_variants_are_not_classified_as_repeatable(make_fleet, path):
+    # A caller writes the path of a booking in another form and the connection
+    # to the server breaks. Classified as repeatable, the booking would be
+    # resent.
     engine = fleet_module.CuttingEngine("desk")
     fleet = make_fleet(engine)
     response = fleet.call("POST", f"/services/desk{path}", b"plot 7")
@@ -133,9 +135,10 @@
     assert engine.calls[0].startswith(f"POST {path} HTTP/1.1".encode())
 
 
-def test_broken_booking_is_unknown_and_runs_once(make_fleet):
-    # The desk's connection breaks while it works on a booking. It may have
-    # booked: the caller is told "unknown" and the booking is not sent again.
+def test_broken_booking_is_reported_unknown_and_not_resent(make_fleet):
+    # The connection to the server breaks while it handles a booking, which may
+    # have taken effect. The caller gets "unknown" and the booking is not
+    # resent.
     engine = fleet_module.CuttingEngine("desk")
     fleet = make_fleet(engine)
     response = fleet.call("POST", "/services/desk/bookings", b"plot 7")
--- a/packages/daisypick_node/tests/test_shutdown.py
+++ b/packages/daisypick_node/tests/test_shutdown.py
@@ -24,7 +24,7 @@
 
 
 def make_held_answer():
-    """Return an answer that waits for the test, and what lets it go on."""
+    """Return an application that blocks, and the event that resumes it."""
     go_on = gevent.event.Event()
 
     def _answer(environ, start_response):
@@ -39,10 +39,10 @@
     return fleet.call("POST", fleet_module.CHAT, fleet_module.BODY, **options)
 
 
-def test_router_that_shuts_down_cuts_nothing(make_fleet):
-    # A router is told to stop while it holds a request. It refuses new ones
-    # with a code that says "not run", shows the balancer that it is not
-    # ready, and ends only when the caller has its whole answer.
+def test_router_finishes_open_requests_before_it_stops(make_fleet):
+    # A router is drained while a request is open. It refuses new requests with
+    # a code for "not run", reports to the load balancer that it is not ready,
+    # and stops only after the caller has the whole response.
     answer, go_on = make_held_answer()
     fleet = make_fleet(fleet_module.make_engine(answer))
     held = gevent.spawn(chat, fleet)
@@ -58,9 +58,9 @@
     drained.get(timeout=5)
 
 
-def test_agent_that_shuts_down_ends_its_work_and_moves_the_rest(make_fleet):
-    # An agent is told to stop with two requests running and others waiting.
-    # The running ones end there, the waiting ones finish elsewhere.
+def test_draining_agent_finishes_running_and_returns_waiting(make_fleet):
+    # An agent is drained with two requests running and two waiting. The running
+    # ones finish there, the waiting ones run on the other agent.
     answer, go_on = make_held_answer()
     engines = [
         fleet_module.make_engine(answer),
@@ -82,10 +82,10 @@
     assert len(engines[0].calls) == 2
 
 
-def test_agent_on_a_leaving_vm_is_told_by_a_watcher(make_fleet):
-    # The platform's list shows a VM as leaving. One process that watches for
-    # the data centre tells the agent there, which drains; later the lagging
-    # list shows the VM as live again, and the agent stays closed.
+def test_agent_on_a_leaving_vm_is_notified_by_a_watcher(make_fleet):
+    # The platform lists a VM as leaving. The watching process of the data
+    # centre notifies the agent on it, which drains. Later the stale list shows
+    # the VM as live again, and the agent stays drained.
     engine = fleet_module.make_engine(fleet_module.answer_stream("a"))
     fleet = make_fleet(engine)
     agent, router = fleet.agents[0], fleet.routers[0]
--- a/packages/daisypick_node/tests/test_tls.py
+++ b/packages/daisypick_node/tests/test_tls.py
@@ -14,7 +14,7 @@
 }
 
 
-def test_callers_and_peers_speak_tls():
+def test_callers_and_peers_use_tls():
     engine = fleet_module.make_engine(fleet_module.answer_stream("a"))
     fleet = fleet_module.Fleet([engine], common=TLS)
     answer = fleet.call("POST", fleet_module.CHAT, fleet_module.BODY)
@@ -25,7 +25,7 @@
     fleet.stop()
 
 
-def test_plain_beyond_loopback_must_be_said():
+def test_plain_http_beyond_loopback_requires_a_setting():
     flags = {
         "listen": "10.0.0.1:80",
         "data_centre": "sofia",
--- a/packages/daisypick_node/tests/test_whole_answers.py
+++ b/packages/daisypick_node/tests/test_whole_answers.py
@@ -19,7 +19,7 @@
 
 
 class SteppedAnswer:
-    """A streamed answer that waits in its middle for the test."""
+    """A streamed response that blocks after its first event."""
 
     def __init__(self, first, second):
         self.go_on = gevent.event.Event()
@@ -38,7 +38,7 @@
 
 
 def call_first_server(fleet):
-    """Send a request that begins at the first server, then let both in."""
+    """Send a request to the first server, then enable both servers."""
     fleet.out = {1}
     fleet.configure()
     response = fleet.call("POST", fleet_module.CHAT, fleet_module.BODY)
@@ -48,11 +48,11 @@
 
 
 @pytest.mark.parametrize("fault", ["cut", "silence"])
-def test_stream_is_resumed_where_it_broke(make_fleet, fault):
-    # The connection between router and agent is cut, or goes silent for good,
-    # in the middle of a stream. The router notices by the missing beats,
-    # asks on a fresh connection for the rest, and the caller sees each byte
-    # once. The engine has run the request once.
+def test_stream_is_resumed_after_a_connection_failure(make_fleet, fault):
+    # The connection between router and agent closes, or stops transferring
+    # bytes, within a stream. The router detects it by the missing heartbeats
+    # and requests the rest on a new connection. The caller gets each byte once,
+    # and the engine runs the request once.
     answer = SteppedAnswer(b"one", b"two")
     fleet = make_fleet(fleet_module.make_engine(answer))
     response = fleet.call("POST", fleet_module.CHAT, fleet_module.BODY)
@@ -67,10 +67,10 @@
     assert len(fleet.engines[0].calls) == 1
 
 
-def test_booking_survives_a_silent_connection(make_fleet):
-    # A booking runs when the connection between router and agent goes silent.
-    # The router asks on a fresh one what became of it and gives the caller
-    # the answer of the one run; it does not book again.
+def test_booking_is_resumed_after_a_connection_timeout(make_fleet):
+    # The connection between router and agent stops transferring bytes while a
+    # booking runs. The router resumes on a new connection and relays the
+    # response of the only run, without a second booking.
     go_on = gevent.event.Event()
 
     def _book(environ, start_response):
@@ -89,10 +89,10 @@
     assert len(fleet.engines[0].calls) == 1
 
 
-def test_booking_survives_a_first_contact_that_is_silent(make_fleet):
-    # The router's very first connection to an agent is silent from its start.
-    # The attempt on it names no incarnation, so no agent can have run it: the
-    # booking is sent again and runs once, instead of being told as unknown.
+def test_booking_is_resent_if_the_first_connection_times_out(make_fleet):
+    # The router's first connection to an agent transfers no bytes. The attempt
+    # sent on it carries no incarnation, so no agent can have run it: the
+    # booking is resent and runs once, instead of being reported as unknown.
     engine = fleet_module.make_engine(
         fleet_module.answer_plain(b"booked"), service="desk"
     )
@@ -103,9 +103,9 @@
     assert len(engine.calls) == 1
 
 
-def test_broken_stream_is_run_again_without_repeating_a_byte(make_fleet):
-    # The engine breaks off after its first event. The request is repeatable:
-    # it runs again elsewhere, and the caller sees the first event once.
+def test_broken_stream_is_retried_without_repeating_bytes(make_fleet):
+    # The engine disconnects after its first event. The request is repeatable:
+    # it runs on another engine, and the caller gets the first event once.
     head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
     engines = [
         fleet_module.CuttingEngine(
@@ -120,10 +120,10 @@
     assert engines[0].calls
 
 
-def test_request_that_breaks_every_engine_is_run_a_few_times(make_fleet):
-    # A request makes each engine that takes it fall. Without a bound it would
-    # go round the fleet at the cost of everybody's retries; it is run four
-    # times and its caller is told.
+def test_request_that_breaks_every_engine_has_bounded_retries(make_fleet):
+    # A request makes each engine that runs it disconnect. Without a limit it
+    # would be retried across the fleet and use up the retries of others; it
+    # runs four times, then fails.
     engine = fleet_module.CuttingEngine("assistant")
     fleet = make_fleet(engine)
     response = fleet.call("POST", fleet_module.CHAT, fleet_module.BODY)
@@ -131,9 +131,10 @@
     assert len(engine.calls) == 4
 
 
-def test_answer_that_differs_when_run_again_is_refused(make_fleet):
-    # The second run begins differently from what the caller has seen. A
-    # mixture of the two would pass for an answer; the caller is told instead.
+def test_retry_with_a_different_response_is_an_error(make_fleet):
+    # The response of the second run differs from the part that the caller
+    # has already received. The caller must get an error rather than a mixture
+    # of two responses that looks valid.
     head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
     engine = fleet_module.CuttingEngine(
         "assistant", head + b"Content-Length: 99\r\n\r\ndata: one\n\n"
@@ -146,9 +147,9 @@
     assert json.loads(error)["error"]["code"] == 5004
 
 
-def test_restarted_agent_makes_a_booking_unknown(make_fleet):
-    # The agent restarts while a booking runs and knows nothing of it. Asked
-    # about the attempt it could only guess; the caller is told "unknown".
+def test_booking_is_unknown_after_an_agent_restart(make_fleet):
+    # The agent restarts while a booking runs and has no record of it. Whether
+    # the booking ran cannot be determined, so the caller gets "unknown".
     go_on = gevent.event.Event()
 
     def _hang(environ, start_response):
@@ -169,9 +170,9 @@
     assert len(fleet.engines[0].calls) == 1
 
 
-def test_caller_that_leaves_frees_its_slot(make_fleet):
-    # A caller closes its connection in the middle of a stream. Its work is
-    # cancelled at the engine and the slot is free again.
+def test_caller_disconnect_frees_its_slot(make_fleet):
+    # A caller closes its connection within a stream. The request is cancelled
+    # at the engine and its slot is freed.
     answer = SteppedAnswer(b"one", b"two")
     fleet = make_fleet(fleet_module.make_engine(answer))
     response = fleet.call("POST", fleet_module.CHAT, fleet_module.BODY)
--- a/packages/daisypick_node/tests/wire.py
+++ b/packages/daisypick_node/tests/wire.py
@@ -1,4 +1,4 @@
-"""A wire between two processes that can be cut, or go silent for good."""
+"""A TCP proxy that can close connections or stop forwarding bytes."""
 
 import gevent
 from gevent import server
@@ -6,11 +6,11 @@
 
 
 class Wire:
-    """Forwards connections to an address.
+    """Forwards connections to an address, with injected faults.
 
-    ``silent_next`` makes so many of the next connections silent from their
-    start. ``silence()`` makes the open connections silent for good while new
-    ones work; ``cut()`` closes the open ones; ``is_down`` refuses new ones.
+    ``silent_next`` is the number of next connections that forward nothing.
+    ``silence()`` permanently stops forwarding on the open connections, while
+    new ones work; ``cut()`` closes the open ones; ``is_down`` refuses new ones.
     """
 
     def __init__(self, target):
