--- a/packages/daisypick_lab/src/daisypick_lab/claims_model.py
+++ b/packages/daisypick_lab/src/daisypick_lab/claims_model.py
@@ -1,9 +1,9 @@
-"""What claims cost: writes, bytes, time and processor, against their rate.
+"""Cost of claims (writes, bytes, latency, processor time) by claim rate.
 
-Drives the core's batcher with claims at random times (seeded) on a store in
-memory whose calls take a fixed time; time is simulated, processor time is
-measured. The batcher of all shards is one object here, which changes nothing:
-shards do not touch each other.
+Submits claims to the core's batcher at random (seeded) times. The store is in
+memory and each call takes a fixed time. Time is simulated; processor time is
+measured. One batcher serves all shards here, which does not affect the
+figures because shards are independent.
 
     python -m daisypick_lab.claims_model
 """
@@ -24,7 +24,7 @@
 from daisypick_lab import memory_store
 
 STORE_SECONDS = 0.005
-# How often the daemons let time pass at their batcher.
+# Interval at which the daemons call ``tick`` of their batcher.
 TICK_SECONDS = 0.1
 RATES = (16.0, 64.0, 130.0, 260.0, 520.0, 1040.0, 2080.0, 4160.0)
 SECONDS = 10.0
@@ -32,12 +32,12 @@
 
 
 class Setting(typing.NamedTuple):
-    """One point of the model.
+    """Parameters of one simulation run.
 
     Attributes:
-        rate: Claims a second in the whole fleet.
-        seconds: Simulated seconds that are measured.
-        seed: Seed of the arrivals.
+        rate: Claims per second in the whole fleet.
+        seconds: Measured simulated time, after the warm-up.
+        seed: Seed of the arrival times.
     """
 
     rate: float
@@ -46,17 +46,17 @@
 
 
 class Cost(typing.NamedTuple):
-    """What claims cost at one point.
+    """Cost of claims at one rate.
 
     Attributes:
-        rate: Claims a second.
-        writes: Writes of the store a second.
-        claims_per_write: Claims that one write of a head carried.
-        write_bytes: Mean bytes of a write.
-        shard_bytes: Bytes written a second by the batcher of one shard.
+        rate: Claims per second.
+        writes: Store writes per second.
+        claims_per_write: Mean number of claims per store write.
+        write_bytes: Mean size of a write, bytes.
+        shard_bytes: Bytes written per second and shard.
         p50: Median time from claim to grant, seconds.
-        p95: The same for 95 in 100.
-        cpu: Processor time of the batcher a claim, microseconds.
+        p95: 95th percentile of that time, seconds.
+        cpu: Processor time of the batcher per claim, microseconds.
     """
 
     rate: float
@@ -70,11 +70,11 @@
 
 
 class TakeOver(typing.NamedTuple):
-    """What it costs to take a shard over.
+    """Cost of taking over a shard.
 
     Attributes:
-        rate: Claims a second in the whole fleet.
-        reads: Reads of the store.
+        rate: Claims per second in the whole fleet.
+        reads: Store reads.
         bytes: Bytes read.
         seconds: Time until the first claim is granted.
     """
@@ -86,7 +86,7 @@
 
 
 class _Model:
-    """A batcher and its store under a simulated clock."""
+    """A batcher and its store on a simulated clock."""
 
     def __init__(self, store: memory_store.MemoryStore, seed: int) -> None:
         self.now = 0.0
@@ -94,51 +94,51 @@
         self.cpu = 0.0
         self.bytes_read = 0
         self.granted_at_by_ticket: dict[int, float] = {}
-        self._subject = core_batcher.Batcher(rng=random.Random(seed))
+        self._batcher = core_batcher.Batcher(rng=random.Random(seed))
         self._order = itertools.count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self.at(TICK_SECONDS, self._tick)
 
     def at(self, when: float, work: Callable[[], None]) -> None:
-        """Do some work at a time."""
+        """Schedule a callback at a simulated time."""
         heapq.heappush(self._events, (when, next(self._order), work))
 
     def submit(self, ticket: int, claim: outcomes.Claim) -> None:
-        """Submit a claim now."""
-        self._drive(lambda: self._subject.submit(ticket, claim, self.now))
+        """Submit a claim at the current simulated time."""
+        self._drive(lambda: self._batcher.submit(ticket, claim, self.now))
 
     def run(self, until: float) -> None:
-        """Let simulated time pass."""
+        """Process events up to and including a simulated time."""
         while self._events and self._events[0][0] <= until:
             self.now, _, work = heapq.heappop(self._events)
             work()
 
     def _drive(self, event: Callable[[], list[actions.BatcherAction]]) -> None:
         began = time.process_time()
-        due = event()
+        batcher_actions = event()
         self.cpu += time.process_time() - began
-        for action in due:
+        for action in batcher_actions:
             if isinstance(action, actions.Settle):
                 self.granted_at_by_ticket[action.ticket] = self.now
             else:
-                self.at(self.now + STORE_SECONDS, self._answer(action))
+                self.at(self.now + STORE_SECONDS, self._make_completion(action))
 
-    def _answer(self, call: actions.StoreCall) -> Callable[[], None]:
-        def _done() -> None:
+    def _make_completion(self, call: actions.StoreCall) -> Callable[[], None]:
+        def _complete() -> None:
             result = self.store.carry_out(call)
             if isinstance(result, actions.Stored):
                 self.bytes_read += len(result.value)
-            self._drive(lambda: self._subject.done(call, result, self.now))
+            self._drive(lambda: self._batcher.done(call, result, self.now))
 
-        return _done
+        return _complete
 
     def _tick(self) -> None:
         self.at(self.now + TICK_SECONDS, self._tick)
-        self._drive(lambda: self._subject.tick(self.now))
+        self._drive(lambda: self._batcher.tick(self.now))
 
 
 def measure(setting: Setting) -> Cost:
-    """Return what claims cost at one point."""
+    """Run the simulation once and return the cost of claims."""
     rng = random.Random(setting.seed)
     store = memory_store.MemoryStore()
     model = _Model(store, setting.seed)
@@ -175,9 +175,9 @@
 
 
 def measure_take_over(rate: float, *, seed: int = 1) -> TakeOver:
-    """Return what it costs to take over a shard that is full of claims.
+    """Return the cost of taking over a shard that is full of claims.
 
-    The shard holds the claims of the time for which keys are remembered.
+    The shard holds the claims of a whole retention period.
     """
     rng = random.Random(seed)
     store = memory_store.MemoryStore()
@@ -204,7 +204,7 @@
 
 
 def make_claim(number: int, rng: random.Random) -> outcomes.Claim:
-    """Return a claim as large as the daemons make them."""
+    """Return a claim with fields of the sizes that the daemons use."""
     entry = claim_entry.Entry(
         digest=claim_entry.digest_of("union", f"{rng.getrandbits(64):x}"),
         fingerprint=f"{rng.getrandbits(128):032x}",
@@ -217,9 +217,9 @@
 
 
 def main() -> None:
-    """Print the tables."""
+    """Print the cost by claim rate, then the cost of taking over a shard."""
     print(
-        f"{claim_entry.SHARD_COUNT} shards, {shard.HEAD_ENTRIES} entries a"
+        f"{claim_entry.SHARD_COUNT} shards, {shard.HEAD_ENTRIES} entries per"
         f" head, store calls of {STORE_SECONDS * 1000:g} ms"
     )
     print(
