--- a/packages/daisypick_lab/src/daisypick_lab/configuration_model.py
+++ b/packages/daisypick_lab/src/daisypick_lab/configuration_model.py
@@ -1,10 +1,10 @@
-"""How fast a change is in force everywhere, and what it costs.
+"""Time until a configuration change is in force on all nodes, and its cost.
 
-No process has any other traffic, which is the worst case: contact alone would
-be faster.
+No process has any other traffic. This is the worst case: other messages
+between processes also carry the generation and speed up the distribution.
 
-Usage: ``python -m daisypick_lab.configuration_model`` prints a table in
-which times are seconds of the virtual clock, and costs are for each node.
+Usage: ``python -m daisypick_lab.configuration_model`` prints a table. Times
+are seconds of the virtual clock; costs are per node.
 """
 
 from daisypick_lab import configuration_fleet
@@ -28,17 +28,17 @@
     configuration_fleet.Scenario(
         "10 times the changes", changes_per_second=1.39
     ),
-    configuration_fleet.Scenario("a tenth of calls lost", loss=0.1),
-    configuration_fleet.Scenario("nobody offered to", offered=0),
-    configuration_fleet.Scenario("store down at once", store_up_until=0.0),
+    configuration_fleet.Scenario("10% of calls lost", loss=0.1),
+    configuration_fleet.Scenario("changes not offered", offered=0),
+    configuration_fleet.Scenario("store down from start", store_up_until=0.0),
     configuration_fleet.Scenario(
-        "region cut for 60 s", cut=REGION, cut_from=30.0, cut_until=90.0
+        "60 s region partition", cut=REGION, cut_from=30.0, cut_until=90.0
     ),
 )
 
 
 def main() -> None:
-    """Print the table."""
+    """Run all scenarios and print a table."""
     print(
         f"{'scenario':22} {'changes':>7} {'median s':>8} {'slowest s':>9} "
         f"{'msgs/s':>7} {'bytes/s':>8} {'cpu ms/s':>8} {'lowered':>7}"
--- a/packages/daisypick_lab/src/daisypick_lab/configuration_size.py
+++ b/packages/daisypick_lab/src/daisypick_lab/configuration_size.py
@@ -1,7 +1,7 @@
-"""What a configuration weighs at a node, and what one change moves.
+"""Memory use of a configuration on a node, and transfer size of one change.
 
 Usage: ``python -m daisypick_lab.configuration_size`` prints a line for each
-number of organisations; the letter's size is the last one.
+number of organisations. The last line has the size of the reference fleet.
 """
 
 import hashlib
@@ -18,26 +18,27 @@
 from daisypick_core.configuration import sections
 from daisypick_core.configuration import wire
 
-LETTER_ORGANISATIONS = 22_000
-LETTER_SERVERS = 3_300
-LETTER_DATA_CENTRES = 12
-LETTER_MODELS = 12
-LETTER_CHANGES_PER_SECOND = 12_000 / 86_400
+REFERENCE_ORGANISATIONS = 22_000
+REFERENCE_SERVERS = 3_300
+REFERENCE_DATA_CENTRES = 12
+REFERENCE_MODELS = 12
+REFERENCE_CHANGES_PER_SECOND = 12_000 / 86_400
 CHANGES = 10
 _MEGABYTE = 1e6
 
 
 class Size(typing.NamedTuple):
-    """The figures of one number of organisations.
+    """Measurements for one number of organisations.
 
     Attributes:
-        organisations: Organisations; backend servers grow with them.
-        chunks: Chunks of the whole.
-        whole: Megabytes of the whole on the wire.
-        change: Mean bytes of an answer that brings one change.
-        change_ms: Mean processor time to take it, milliseconds.
-        load_seconds: Processor time to take the whole, seconds.
-        memory: Megabytes that the holder keeps.
+        organisations: Number of organisations; the number of backend servers
+            is proportional to it.
+        chunks: Number of chunks of the whole configuration.
+        whole: Encoded size of the whole configuration, megabytes.
+        change: Mean size of a response with one change, bytes.
+        change_ms: Mean processor time to apply such a response, milliseconds.
+        load_seconds: Processor time to load the whole configuration, seconds.
+        memory: Memory that the holder uses, megabytes.
     """
 
     organisations: int
@@ -50,8 +51,8 @@
 
 
 def make_configuration(organisations: int) -> model.Configuration:
-    """Return a configuration with the letter's proportions."""
-    servers = organisations * LETTER_SERVERS // LETTER_ORGANISATIONS
+    """Return a configuration with the proportions of the reference fleet."""
+    servers = organisations * REFERENCE_SERVERS // REFERENCE_ORGANISATIONS
     return sections.make_configuration(
         1,
         {
@@ -61,11 +62,11 @@
             "backend_servers": dict(_server(n) for n in range(servers)),
             "services": {
                 f"service-{n}": model.Service(f"service-{n}", model="m")
-                for n in range(LETTER_MODELS)
+                for n in range(REFERENCE_MODELS)
             },
             "data_centres": {
                 f"dc-{n}": model.DataCentre(f"dc-{n}")
-                for n in range(LETTER_DATA_CENTRES)
+                for n in range(REFERENCE_DATA_CENTRES)
             },
         },
     )
@@ -83,8 +84,8 @@
     host = f"10.{number % 12}.{number // 250}.{number % 250}"
     return name, model.BackendServer(
         name=name,
-        service=f"service-{number % LETTER_MODELS}",
-        data_centre=f"dc-{number % LETTER_DATA_CENTRES}",
+        service=f"service-{number % REFERENCE_MODELS}",
+        data_centre=f"dc-{number % REFERENCE_DATA_CENTRES}",
         address=f"{host}:8000",
         agent=f"{host}:9000",
         slots=64,
@@ -93,7 +94,7 @@
 
 
 def measure(organisations: int) -> Size:
-    """Load a configuration into a holder, then change it a few times."""
+    """Measure loading a configuration into a holder and changing it."""
     configuration = make_configuration(organisations)
     tree = chunks.split(configuration)
     first = wire.encode_response(wire.RootResponse(_root(1, tree), {}))
@@ -104,17 +105,17 @@
     size = seconds = 0.0
     for generation in range(2, 2 + CHANGES):
         configuration = _change(configuration, generation)
-        news = chunks.split(configuration)
-        answer = wire.RootResponse(
-            _root(generation, news),
+        new_tree = chunks.split(configuration)
+        response = wire.RootResponse(
+            _root(generation, new_tree),
             {
                 key: chunk
-                for key, chunk in news.chunk_by_hash.items()
+                for key, chunk in new_tree.chunk_by_hash.items()
                 if key not in tree.chunk_by_hash
             },
         )
-        tree = news
-        encoded = wire.encode_response(answer)
+        tree = new_tree
+        encoded = wire.encode_response(response)
         size += len(encoded)
         started = time.process_time()
         holder.receive_root("peer", wire.decode_response(encoded), 1.0)
@@ -135,18 +136,18 @@
     tracemalloc.start()
     holder = distribution.ConfigurationHolder(rng=random.Random(1))
     _load(holder, first, data)
-    kept, _ = tracemalloc.get_traced_memory()
+    retained, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return kept / _MEGABYTE
+    return retained / _MEGABYTE
 
 
 def _load(
     holder: distribution.ConfigurationHolder, first: bytes, data: bytes
 ) -> float:
     started = time.process_time()
-    answer = wire.decode_response(first)
-    answer = answer._replace(chunk_by_hash=wire.decode_chunks(data))
-    holder.receive_root(actions.OPERATOR, answer, 0.0)
+    response = wire.decode_response(first)
+    response = response._replace(chunk_by_hash=wire.decode_chunks(data))
+    holder.receive_root(actions.OPERATOR, response, 0.0)
     assert holder.generation == 1
     return time.process_time() - started
 
@@ -167,9 +168,15 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Print a table of measurements by number of organisations."""
     print("organisations chunks whole-MB change-B change-ms load-s memory-MB")
-    for organisations in (2_750, 5_500, 11_000, 16_500, LETTER_ORGANISATIONS):
+    for organisations in (
+        2_750,
+        5_500,
+        11_000,
+        16_500,
+        REFERENCE_ORGANISATIONS,
+    ):
         size = measure(organisations)
         print(
             f"{size.organisations:13} {size.chunks:6} {size.whole:8.2f} "
--- a/packages/daisypick_lab/src/daisypick_lab/configuration_sockets.py
+++ b/packages/daisypick_lab/src/daisypick_lab/configuration_sockets.py
@@ -1,12 +1,13 @@
-"""Processor time of the spread over real sockets, without any other work.
+"""Processor time of configuration distribution over real sockets.
 
-Followers run in one process on loopback, so its processor time is that of
-both ends of all their calls. The platform's stand-in and the operator who
-publishes run in it too, so the figures are upper bounds.
+All followers run in one process on loopback, without any other work, so its
+processor time includes both ends of all calls. The stand-in of the platform
+and the publishing operator run in the same process, so the figures are upper
+bounds.
 
-Usage: ``python -m daisypick_lab.configuration_sockets`` prints a line for
-each number of followers, first idle, then with ten times the letter's rate
-of changes.
+Usage: ``python -m daisypick_lab.configuration_sockets`` prints two lines for
+each number of followers: idle, and with ten times the reference rate of
+changes.
 """
 
 import random
@@ -35,12 +36,12 @@
 
 
 class Cost(typing.NamedTuple):
-    """Figures a follower and second.
+    """Cost per follower and second.
 
     Attributes:
-        cpu: Milliseconds of processor time.
-        messages: Calls that it made.
-        bytes: Bytes of these calls, with headers.
+        cpu: Processor time, milliseconds.
+        messages: Number of calls made.
+        bytes: Size of these calls including headers, bytes.
     """
 
     cpu: float
@@ -49,7 +50,7 @@
 
 
 class Follower:
-    """A configuration service with its own socket and nothing else."""
+    """A configuration service with its own listening socket."""
 
     def __init__(
         self, *, platform: str, seeds: list[str], data_centre: str
@@ -73,14 +74,14 @@
         self.service.start(self.address)
 
     def stop(self) -> None:
-        """Stop following and listening."""
+        """Stop the configuration service and the server."""
         self.service.stop()
         self._server.stop(timeout=0)
         self.peers.close()
 
 
 class Fleet:
-    """A platform's stand-in and followers."""
+    """A stand-in of the platform, a publisher and followers."""
 
     def __init__(self, *, count: int) -> None:
         self._platform = platform_server.Platform()
@@ -104,20 +105,20 @@
             self._followers.append(
                 Follower(
                     platform=address,
-                    seeds=[one.address for one in self._followers],
+                    seeds=[follower.address for follower in self._followers],
                     data_centre=f"dc-{number % 2}",
                 )
             )
 
     def publish(self) -> None:
-        """Accept the configuration as it is now."""
+        """Publish the current configuration."""
         stored = self.publisher.read()
         assert not failure_value.is_failure(stored)
         outcome = self.publisher.publish(self.configuration, stored)
         assert isinstance(outcome, publication.Published)
 
     def change(self, number: int) -> None:
-        """Accept a change of one organisation."""
+        """Change one organisation and publish the configuration."""
         entries = dict(self.configuration.organisations_by_name)
         name = f"organisation-{number % ORGANISATIONS:05}"
         entries[name] = model.Organisation(name, share=100.0 + number)
@@ -127,7 +128,7 @@
         self.publish()
 
     def measure(self, changes_per_second: float) -> Cost:
-        """Measure for a while."""
+        """Measure the cost at a rate of changes; 0 measures an idle fleet."""
         before = self._counts()
         started, began = time.process_time(), time.monotonic()
         number = 0
@@ -151,18 +152,18 @@
     def generations(self) -> dict[str, int]:
         """Return the generation of each follower, by address."""
         return {
-            one.address: one.service.holder.generation
-            for one in self._followers
+            follower.address: follower.service.holder.generation
+            for follower in self._followers
         }
 
     def stop(self) -> None:
-        """Stop all."""
+        """Stop the followers and the platform."""
         for follower in self._followers:
             follower.stop()
         self._platform.stop()
 
     def _counts(self) -> tuple[int, int]:
-        traffics = [one.peers.traffic for one in self._followers]
+        traffics = [follower.peers.traffic for follower in self._followers]
         return (
             sum(traffic.messages for traffic in traffics),
             sum(traffic.bytes for traffic in traffics),
@@ -170,7 +171,7 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Print a table of costs by number of followers and rate."""
     print("followers changes/s cpu-ms/s calls/s bytes/s")
     for count in (10, 20, 40):
         fleet = Fleet(count=count)
--- a/packages/daisypick_lab/src/daisypick_lab/configuration_topology.py
+++ b/packages/daisypick_lab/src/daisypick_lab/configuration_topology.py
@@ -1,11 +1,11 @@
-"""Where the nodes of the model of the spread are, and whom they know.
+"""Data centres and peers of the nodes in the distribution model.
 
 Node ``n`` is in data centre ``n % DATA_CENTRES``.
 
 Examples:
-    >>> list(Others(own=1, nodes=4, step=1))
+    >>> list(PeerAddresses(own=1, nodes=4, step=1))
     ['0', '2', '3']
-    >>> list(Others(own=13, nodes=30, step=DATA_CENTRES))
+    >>> list(PeerAddresses(own=13, nodes=30, step=DATA_CENTRES))
     ['1', '25']
 """
 
@@ -15,13 +15,22 @@
 DATA_CENTRES = 12
 
 
-def place(number: int) -> int:
-    """Return the data centre of a node."""
+def data_centre_of(number: int) -> int:
+    """Return the number of a node's data centre."""
     return number % DATA_CENTRES
 
 
-class Others(Sequence):
-    """Addresses of the nodes of one place, or of all, but one's own."""
+class PeerAddresses(Sequence):
+    """Addresses of the other nodes in the fleet or in one data centre.
+
+    The addresses are computed on demand.
+
+    Args:
+        own: Number of the node itself, which is left out.
+        nodes: Number of nodes in the fleet.
+        step: 1 for the whole fleet, ``DATA_CENTRES`` for the node's own data
+            centre.
+    """
 
     def __init__(self, *, own: int, nodes: int, step: int) -> None:
         self._own = own
--- a/packages/daisypick_lab/tests/test_configuration_model.py
+++ b/packages/daisypick_lab/tests/test_configuration_model.py
@@ -3,8 +3,8 @@
 from daisypick_lab import configuration_fleet
 from daisypick_lab import configuration_model
 
-LETTER_SECONDS = 12.0
-LETTER_BYTES = 27_000
+MAX_ACTIVATION_SECONDS = 12.0
+MAX_BYTES_PER_SECOND = 27_000
 
 
 def run(**fields):
@@ -27,15 +27,16 @@
         {"watchers": 0, "offered": 1},
     ],
 )
-def test_change_is_in_force_everywhere_in_the_letters_time(fields):
+def test_change_is_in_force_on_all_nodes_within_the_time_limit(fields):
     outcome = run(**fields)
-    assert outcome.slowest < LETTER_SECONDS
-    assert outcome.bytes < LETTER_BYTES
+    assert outcome.slowest < MAX_ACTIVATION_SECONDS
+    assert outcome.bytes < MAX_BYTES_PER_SECOND
 
 
-def test_region_that_was_cut_off_follows_soon_after_it_rejoins():
-    # Two data centres reach neither the others nor the store for 20 s, in
-    # which changes are accepted. Its nodes stay as they are, lower nobody
-    # after the cut, and have the latest generation 12 s after its end.
+def test_partitioned_region_catches_up_after_the_partition():
+    # Two data centres can reach neither the others nor the store for 20 s
+    # while changes are published. Their nodes keep their generation, cause no
+    # node to regress when the partition ends, and have the latest generation
+    # within 12 s after that.
     outcome = run(cut=configuration_model.REGION, cut_from=15.0, cut_until=35.0)
-    assert outcome.slowest < LETTER_SECONDS
+    assert outcome.slowest < MAX_ACTIVATION_SECONDS
--- a/packages/daisypick_lab/tests/test_configuration_sockets.py
+++ b/packages/daisypick_lab/tests/test_configuration_sockets.py
@@ -3,7 +3,7 @@
 from daisypick_lab import configuration_sockets
 
 
-def test_followers_take_a_change_over_sockets():
+def test_followers_receive_a_change_over_sockets():
     fleet = configuration_sockets.Fleet(count=4)
     try:
         fleet.change(7)
