--- a/packages/daisypick_lab/src/daisypick_lab/bench/__init__.py
+++ b/packages/daisypick_lab/src/daisypick_lab/bench/__init__.py
@@ -1,12 +1,12 @@
-"""What the path costs: ``python -m daisypick_lab.bench`` (``make bench``).
+"""Request path benchmark: ``python -m daisypick_lab.bench`` (``make bench``).
 
-Router, agent, engine and platform run as processes of their own; the bench
-calls them over loopback and reads their processor time and memory. Each
-figure is the slope over at least four points, and the direct way to the
-engine is measured in the same run.
+Router, agent, engine and platform run as separate processes; the benchmark
+calls them over loopback and reads their processor time and memory. Each cost
+is a slope over at least four points, and direct calls to the engine are
+measured in the same run as a baseline.
 
-* ``processes``: starts them and reads what they use.
-* ``work``: the calls that the bench makes.
-* ``measurements``: the measurements.
-* ``text``: the result as text for ``docs/MEASUREMENTS.md``.
+* ``processes``: starts the processes and reads their resource usage.
+* ``work``: makes the calls.
+* ``measurements``: runs the measurements.
+* ``text``: renders the result as text for ``docs/MEASUREMENTS.md``.
 """
--- a/packages/daisypick_lab/src/daisypick_lab/bench/__main__.py
+++ b/packages/daisypick_lab/src/daisypick_lab/bench/__main__.py
@@ -16,13 +16,13 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the bench."""
+    """Run the benchmark and return the exit code."""
     parser = argparse.ArgumentParser(prog="daisypick_lab.bench")
     parser.add_argument("--output", type=pathlib.Path)
     parser.add_argument("--page", type=pathlib.Path)
     options = parser.parse_args(arguments)
     result = measurements.measure_all(
-        lambda what: print(f"measures {what}", file=sys.stderr, flush=True)
+        lambda what: print(f"measuring {what}", file=sys.stderr, flush=True)
     )
     today = datetime.datetime.now(tz=datetime.UTC).date()
     rendered = text.render(result, today)
--- a/packages/daisypick_lab/src/daisypick_lab/bench/text.py
+++ b/packages/daisypick_lab/src/daisypick_lab/bench/text.py
@@ -1,6 +1,6 @@
-"""The bench's result as text, and its place in a page.
+"""Rendering of the benchmark result as text in a Markdown page.
 
-The text stands between two marks, so that a later run replaces it.
+The text is enclosed in two markers so that a later run can replace it.
 """
 
 import datetime
@@ -13,7 +13,7 @@
 BEGIN = "<!-- bench: begin -->"
 END = "<!-- bench: end -->"
 COMMAND = "make bench"
-# The letter's peak.
+# Peak load per second of the reference fleet.
 _PEAK_REQUESTS = 52_000
 _PEAK_TOKENS = 14_000_000
 _MICROSECONDS = 1e6
@@ -25,9 +25,9 @@
     """Return the result as Markdown."""
     parts = [
         f"Measured {day.isoformat()} by `{COMMAND}`, version "
-        f"{result.version}: each process by itself on loopback, on a shared "
-        "machine. Slopes over the points shown; the residual is the root of "
-        "the mean squared distance from the line.",
+        f"{result.version}: separate processes on loopback, on a shared "
+        "machine. Slopes over the points shown; the residual is the root mean "
+        "square distance from the line.",
         _code(_cost_table(result)),
         _code(_memory_table(result)),
         _latency(result),
@@ -37,7 +37,9 @@
 
 
 def put_into(page: str, text: str) -> str:
-    r"""Return the page with the text between its marks, or at its end.
+    r"""Return the page with the text between the markers.
+
+    A page without markers gets the text and the markers at its end.
 
     Examples:
         >>> page = put_into("# Title", "first")
@@ -56,12 +58,12 @@
 
 
 def write(path: pathlib.Path, text: str) -> None:
-    """Put the text into a page."""
+    """Write the text into a page; create the page if it does not exist."""
     page = path.read_text(encoding="utf-8") if path.exists() else _NEW_PAGE
     path.write_text(put_into(page, text), encoding="utf-8")
 
 
-_NEW_PAGE = "# Measurements\n\n## Cost of the path\n"
+_NEW_PAGE = "# Measurements\n\n## Cost of the request path\n"
 
 
 def _code(text: str) -> str:
@@ -81,7 +83,7 @@
         for name, line in lines.items():
             rows.append(
                 [
-                    f"{name}, a {cost.unit}",
+                    f"{name}, per {cost.unit}",
                     f"{line.slope * _MICROSECONDS:.1f}",
                     f"{line.intercept * _THOUSAND:.1f}",
                     f"{line.residual * _THOUSAND:.1f}",
@@ -95,7 +97,7 @@
     titles = [
         "memory",
         "idle MB",
-        "MB a 1,000 streams",
+        "MB per 1,000 streams",
         "residual MB",
         "points",
     ]
@@ -124,8 +126,8 @@
     added_p50 = (found.routed_p50 - found.direct_p50) * _THOUSAND
     added_p95 = (found.routed_p95 - found.direct_p95) * _THOUSAND
     return (
-        f"First token, {found.calls} calls each, one at a time, direct and "
-        f"routed in turn: added {added_p50:.2f} ms at p50 and "
+        f"Time to first token, {found.calls} calls each, one at a time, "
+        f"alternating direct and routed: added {added_p50:.2f} ms at p50 and "
         f"{added_p95:.2f} ms at p95 (direct {found.direct_p50 * _THOUSAND:.2f}"
         f" and {found.direct_p95 * _THOUSAND:.2f} ms, routed "
         f"{found.routed_p50 * _THOUSAND:.2f} and "
@@ -142,9 +144,9 @@
         token = getattr(result.token, name).slope
         cores = _PEAK_REQUESTS * request + _PEAK_TOKENS * token
         lines.append(
-            f"- {name}: a core carries {1 / token:,.0f} tokens a second, or "
-            f"{1 / request:,.0f} short requests a second. The letter's peak "
-            f"of {_PEAK_REQUESTS:,} requests and {_PEAK_TOKENS:,} tokens a "
-            f"second would need {cores:,.0f} cores (computed)."
+            f"- {name}: a core handles {1 / token:,.0f} tokens per second, or "
+            f"{1 / request:,.0f} short requests per second. The reference "
+            f"peak of {_PEAK_REQUESTS:,} requests and {_PEAK_TOKENS:,} tokens "
+            f"per second would need {cores:,.0f} cores (computed)."
         )
     return "\n".join(lines)
