--- a/packages/daisypick_lab/src/daisypick_lab/__init__.py
+++ b/packages/daisypick_lab/src/daisypick_lab/__init__.py
@@ -1,15 +1,16 @@
 """Embedded fleet, load, demo and measurements.
 
-* ``shapes``: the demo's fleet and today's deployments of the brief.
-* ``embedded``: a whole fleet in one process, its folder in ``folder``.
-* ``load``: organisations that call over real sockets; one call and its check
-  is in ``callers``, what was measured in ``tally``.
-* ``sampler``: service, backlog and busy slots over time.
-* ``run``: a fleet under load, a data centre out and back; its result is in
-  ``results``, as text in ``report``, against earlier ones in ``comparison``.
-* ``trouble``: failures on command while the fleet serves.
-* ``fit``: straight lines through measured points; ``bench`` uses them.
+* ``shapes``: sizes and load of the demo fleet and the reference deployments.
+* ``embedded``: a whole fleet in one process; ``folder`` manages its folder.
+* ``load``: generates calls of organisations over real sockets; ``callers``
+  makes and checks one call, ``tally`` collects the measurements.
+* ``sampler``: samples of service, backlog and busy slots over time.
+* ``run``: runs a fleet under load while a data centre is taken out of service
+  and restored; ``results`` holds the result, ``report`` renders it and
+  ``comparison`` compares it with earlier results.
+* ``trouble``: fault injection while the fleet serves.
+* ``fit``: linear regression over measured points, used by ``bench``.
 * ``commands``: ``daisypick demo`` and ``daisypick measure``.
 
-The modules named ``..._model`` drive the decisions under a virtual clock.
+The modules named ``..._model`` simulate the decision logic on a virtual clock.
 """
--- a/packages/daisypick_lab/src/daisypick_lab/commands.py
+++ b/packages/daisypick_lab/src/daisypick_lab/commands.py
@@ -1,4 +1,4 @@
-"""What this package adds to ``daisypick``: ``demo`` and ``measure``."""
+"""The commands ``daisypick demo`` and ``daisypick measure``."""
 
 import pathlib
 import signal
@@ -16,45 +16,51 @@
 from daisypick_lab import run
 from daisypick_lab import shapes
 
-EXIT_GOOD = 0
-EXIT_BAD = 1
+EXIT_SUCCESS = 0
+EXIT_FAILURE = 1
 EXIT_USAGE = 2
 _DEPLOYMENTS = ("union", "kopacka")
 
 _SEED = helpers.option(
-    "seed", description="Seed of load and fleet.", flag=False, default="1"
+    "seed",
+    description="Random seed of load and fleet.",
+    flag=False,
+    default="1",
 )
 _JSON = helpers.option("json", description="Print the result as JSON.")
 _QUICK = helpers.option("quick", description="Shorter phases.")
 
 
 class DemoCommand(command.Command):
-    """Run the main job on an embedded fleet."""
+    """Run an embedded fleet under load and print the measurements."""
 
     name = "demo"
-    description = "Run an embedded fleet under load and show what it did."
+    description = "Run an embedded fleet under load and report results."
     help = """Starts a whole fleet in this process on loopback, sends a mixed
-load of eight organisations, one of which floods, takes a data centre out and
-brings it back.
+load of eight organisations, one of which overloads the fleet, takes a data
+centre out of service and restores it.
 
   daisypick demo           about 40 seconds, then a table
   daisypick demo --quick   about 15 seconds
-  daisypick demo --serve   keeps the fleet up and prints how to call it
+  daisypick demo --serve   keeps the fleet running and prints how to call it
 
-Exit codes: 0 if every answer was whole and its own, nothing ran twice and
-each "not run" was true; 1 if not; 2 for a wrong option."""
+Exit codes: 0 if every response was complete and belonged to its request, no
+non-repeatable request ran twice and no request reported as "not run" ran; 1
+otherwise; 2 for an invalid option."""
     options = [
         _QUICK,
-        helpers.option("serve", description="Keep the fleet up, no load."),
+        helpers.option(
+            "serve", description="Serve until interrupted, without load."
+        ),
         _SEED,
         _JSON,
     ]
 
     def handle(self) -> int:
-        """Run the demo."""
+        """Run the demo and return the exit code."""
         seed = _read_seed(self.option("seed"))
         if seed is None:
-            self.line_error(_bad_seed(self.option("seed")))
+            self.line_error(_describe_invalid_seed(self.option("seed")))
             return EXIT_USAGE
         if self.option("serve"):
             return self._serve(seed)
@@ -62,13 +68,13 @@
             shape=shapes.DEMO,
             plan=run.QUICK if self.option("quick") else run.Plan(),
             seed=seed,
-            say=self.line_error,
+            report_progress=self.line_error,
         ).run()
         if self.option("json"):
             self.line(msgspec.json.encode(result).decode())
         else:
             self.line(report.render(result))
-        return EXIT_GOOD if result.verdict.is_clean else EXIT_BAD
+        return EXIT_SUCCESS if result.verdict.is_clean else EXIT_FAILURE
 
     def _serve(self, seed: int) -> int:
         fleet = embedded.EmbeddedFleet(shape=shapes.DEMO, seed=seed)
@@ -80,23 +86,24 @@
             gevent.signal_handler(number, ended.set)
         ended.wait()
         fleet.stop()
-        return EXIT_GOOD
+        return EXIT_SUCCESS
 
 
 class MeasureCommand(command.Command):
-    """Measure the deployments of the brief."""
+    """Measure the reference deployments."""
 
     name = "measure"
-    description = "Measure fairness, utilisation, control and a data centre."
-    help = """Runs the deployments of today's sizes on an embedded fleet and
-prints the four measures: fairness gap, utilisation, control traffic, and
-service while a data centre leaves and returns.
+    description = "Measure fairness, utilisation and control traffic."
+    help = """Runs the reference deployments on an embedded fleet and prints
+four measures: fairness gap, utilisation, control traffic, and service while a
+data centre is taken out of service and restored.
 
   daisypick measure --output now.json
   daisypick measure --deployment union --compare now.json
 
-Exit codes: 0 if every answer was whole and its own and nothing ran twice; 1
-if not; 2 for a wrong option or an unreadable file."""
+Exit codes: 0 if every response was complete and belonged to its request, no
+non-repeatable request ran twice and no request reported as "not run" ran; 1
+otherwise; 2 for an invalid option or an unreadable file."""
     options = [
         helpers.option(
             "deployment",
@@ -105,10 +112,12 @@
             multiple=True,
         ),
         helpers.option(
-            "output", description="Write the results as JSON.", flag=False
+            "output",
+            description="JSON file to write the results to.",
+            flag=False,
         ),
         helpers.option(
-            "compare", description="Earlier results as JSON.", flag=False
+            "compare", description="JSON file with earlier results.", flag=False
         ),
         _QUICK,
         _SEED,
@@ -116,11 +125,11 @@
     ]
 
     def handle(self) -> int:
-        """Measure."""
+        """Measure the deployments and return the exit code."""
         seed = _read_seed(self.option("seed"))
         names = tuple(self.option("deployment")) or _DEPLOYMENTS
         if seed is None:
-            self.line_error(_bad_seed(self.option("seed")))
+            self.line_error(_describe_invalid_seed(self.option("seed")))
             return EXIT_USAGE
         for name in names:
             if name not in _DEPLOYMENTS:
@@ -131,34 +140,34 @@
             self.line_error(earlier)
             return EXIT_USAGE
         plan = run.QUICK if self.option("quick") else run.Plan()
-        found = [
+        run_results = [
             run.Run(
                 shape=shapes.by_name[name],
                 plan=plan,
                 seed=seed,
-                say=self.line_error,
+                report_progress=self.line_error,
             ).run()
             for name in names
         ]
-        self._show(found, earlier)
-        is_clean = all(result.verdict.is_clean for result in found)
-        return EXIT_GOOD if is_clean else EXIT_BAD
+        self._show(run_results, earlier)
+        is_clean = all(result.verdict.is_clean for result in run_results)
+        return EXIT_SUCCESS if is_clean else EXIT_FAILURE
 
     def _show(
-        self, found: list[results.Result], earlier: list[results.Result]
+        self, run_results: list[results.Result], earlier: list[results.Result]
     ) -> None:
-        encoded = msgspec.json.format(msgspec.json.encode(found))
+        encoded = msgspec.json.format(msgspec.json.encode(run_results))
         if self.option("output"):
             pathlib.Path(self.option("output")).write_bytes(encoded + b"\n")
         if self.option("json"):
             self.line(encoded.decode())
             return
-        for result in found:
+        for result in run_results:
             self.line(f"deployment {result.deployment}, seed {result.seed}")
             self.line(report.render(result))
             self.line("")
         if earlier:
-            self.line(comparison.render(earlier, found))
+            self.line(comparison.render(earlier, run_results))
 
 
 COMMANDS = [DemoCommand, MeasureCommand]
@@ -171,12 +180,12 @@
         return None
 
 
-def _bad_seed(text: str) -> str:
-    return f"seed: {text!r} is no whole number"
+def _describe_invalid_seed(text: str) -> str:
+    return f"seed: {text!r} is not a whole number"
 
 
 def _describe(fleet: embedded.EmbeddedFleet) -> list[str]:
-    """Return addresses and a line to try."""
+    """Return the addresses of a fleet and a sample request."""
     router = fleet.router_addresses[0]
     profile = fleet.shape.profiles[0]
     body = (
@@ -192,5 +201,5 @@
         f"curl -N http://{router}/v1/chat/completions "
         f"-H 'Authorization: Bearer {profile.key}' "
         f"-H 'Content-Type: application/json' -d '{body}'",
-        "End with Ctrl-C.",
+        "Press Ctrl-C to stop.",
     ]
--- a/packages/daisypick_lab/src/daisypick_lab/comparison.py
+++ b/packages/daisypick_lab/src/daisypick_lab/comparison.py
@@ -1,4 +1,4 @@
-"""A comparison of results with earlier ones.
+"""Comparison of results with earlier results.
 
 Examples:
     >>> read(None)
@@ -17,7 +17,10 @@
 
 
 def read(path: str | None) -> list[results.Result] | str:
-    """Return earlier results, or what is wrong with the file."""
+    """Return the results in a file, or an error message.
+
+    Without a path there are no earlier results.
+    """
     if path is None:
         return []
     try:
@@ -30,14 +33,14 @@
 
 
 def measures(result: results.Result) -> dict[str, float]:
-    """Return the figures that are compared, by name with unit."""
+    """Return the compared figures by name, with the unit in the name."""
     found = {
-        "falls of cold servers": float(result.falls),
+        "overloads of cold servers": float(result.falls),
         "fairness gap (tokens per share)": result.fairness.gap,
-        "control (bytes/s a process)": result.control.bytes_per_second,
-        "out in force (s)": result.leaving.out_in_force,
-        "last new work (s)": result.leaving.last_new_work,
-        "back in force (s)": result.leaving.back_in_force,
+        "control (bytes/s per process)": result.control.bytes_per_second,
+        "removal in force (s)": result.leaving.out_in_force,
+        "last new call (s)": result.leaving.last_new_work,
+        "restore in force (s)": result.leaving.back_in_force,
     }
     for phase in result.phases:
         found[f"{phase.name}: utilisation"] = phase.utilisation
@@ -52,7 +55,7 @@
     earlier: typing.Sequence[results.Result],
     now: typing.Sequence[results.Result],
 ) -> str:
-    """Return a table of all figures, earlier and now."""
+    """Return a table of all figures with their changes."""
     earlier_by_name = {result.deployment: result for result in earlier}
     rows = []
     for result in now:
@@ -61,13 +64,13 @@
             continue
         figures = measures(before)
         for name, value in measures(result).items():
-            was = figures.get(name, 0.0)
+            earlier_value = figures.get(name, 0.0)
             rows.append(
                 [
                     f"{result.deployment} {name}",
-                    f"{was:.3f}",
+                    f"{earlier_value:.3f}",
                     f"{value:.3f}",
-                    f"{value - was:+.3f}",
+                    f"{value - earlier_value:+.3f}",
                 ]
             )
     titles = ["measure", "earlier", "now", "change"]
--- a/packages/daisypick_lab/src/daisypick_lab/report.py
+++ b/packages/daisypick_lab/src/daisypick_lab/report.py
@@ -1,4 +1,4 @@
-"""The readable table of a result.
+"""Rendering of a result as text tables.
 
 Examples:
     >>> print(table(["name", "n"], [["a", "1"], ["bc", "10"]]))
@@ -14,11 +14,11 @@
 
 _GAP = "  "
 _MILLISECONDS = 1000.0
-_SHOWN_FAULTS = 5
+_MAX_SHOWN_FAULTS = 5
 
 
 def table(titles: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
-    """Return rows in columns, the first to the left, others to the right."""
+    """Return a text table; the first column is left-aligned, others right."""
     lines = [titles, *rows]
     widths = [max(len(line[n]) for line in lines) for n in range(len(titles))]
     return "\n".join(
@@ -33,7 +33,7 @@
 
 
 def render(result: results.Result) -> str:
-    """Return all of a result as text."""
+    """Return a result as text."""
     parts = [
         _organisation_table(result),
         _phase_table(result),
@@ -116,16 +116,16 @@
         f"{len(fairness.backlogged)} backlogged organisations"
     )
     yield (
-        f"control: {result.control.bytes_per_second:.0f} bytes a second for "
-        f"each of {result.control.processes} processes"
+        f"control traffic: {result.control.bytes_per_second:.0f} bytes per "
+        f"second for each of {result.control.processes} processes"
     )
     yield (
-        f"data centre {leaving.data_centre}: out in force after "
-        f"{leaving.out_in_force:.2f} s, last new work there after "
-        f"{leaving.last_new_work:.1f} s, back in force after "
+        f"data centre {leaving.data_centre}: removal in force after "
+        f"{leaving.out_in_force:.2f} s, last new call there after "
+        f"{leaving.last_new_work:.1f} s, restore in force after "
         f"{leaving.back_in_force:.2f} s"
     )
-    yield f"falls of cold backend servers: {result.falls}"
+    yield f"overloads of cold backend servers: {result.falls}"
     codes = ", ".join(
         f"{code}: {count}"
         for code, count in sorted(result.refusals_by_code.items())
@@ -136,17 +136,17 @@
 
 def _verdict(verdict: results.VerdictResult) -> Iterator[str]:
     counted = {
-        "not the request's own": verdict.wrong,
-        "not whole": verdict.broken,
+        "answer to another request": verdict.wrong,
+        "incomplete answer": verdict.broken,
         "ran twice": verdict.ran_twice,
-        "told 'not run' but ran": verdict.untrue_refusals,
+        "reported as not run but ran": verdict.untrue_refusals,
     }
     for title, found in counted.items():
         yield f"{title}: {len(found)}"
-        for reason in found[:_SHOWN_FAULTS]:
+        for reason in found[:_MAX_SHOWN_FAULTS]:
             yield f"  {reason}"
     if verdict.unfinished:
-        yield "some calls never ended"
+        yield "some calls did not finish"
     yield "verdict: " + ("good" if verdict.is_clean else "BAD")
 
 
--- a/packages/daisypick_lab/src/daisypick_lab/results.py
+++ b/packages/daisypick_lab/src/daisypick_lab/results.py
@@ -1,4 +1,4 @@
-"""The result of a run as data, and how it is made from samples."""
+"""The result of a run as data, computed from samples and tallies."""
 
 from collections.abc import Sequence
 import importlib.metadata
@@ -17,12 +17,13 @@
 
 
 class OrganisationResult(msgspec.Struct, kw_only=True):
-    """One organisation; times in seconds.
+    """Result of one organisation; times in seconds.
 
     Attributes:
-        due: Part of the backlogged organisations' service that its share
-            gives it in the steady phase; ``None`` if it was not backlogged.
-        received: Part of that service that it got.
+        due: Fraction of the backlogged organisations' service to which its
+            share entitles it in the steady phase; ``None`` if it was not
+            backlogged.
+        received: Fraction of that service that it received.
     """
 
     name: str
@@ -44,10 +45,10 @@
     """The fairness gap of the steady phase.
 
     Attributes:
-        gap: Largest gap between two backlogged organisations over any span,
-            tokens per unit of share.
+        gap: Largest gap between two backlogged organisations over any
+            interval, tokens per unit of share.
         largest_request: Cost of the largest request, tokens.
-        backlogged: The organisations that count.
+        backlogged: Names of the backlogged organisations, sorted.
     """
 
     gap: float
@@ -56,7 +57,7 @@
 
 
 class PhaseResult(msgspec.Struct, kw_only=True):
-    """One phase of a run."""
+    """Result of one phase of a run; times in seconds."""
 
     name: str
     seconds: float
@@ -71,13 +72,15 @@
 
 
 class LeavingResult(msgspec.Struct, kw_only=True):
-    """A data centre out and back.
+    """Times of taking a data centre out of service and restoring it.
 
     Attributes:
-        out_in_force: Seconds from acceptance until all processes know.
-        last_new_work: Seconds from acceptance to the last call that began
-            in the data centre, to a tenth of a second.
-        back_in_force: Seconds from acceptance until all processes know.
+        out_in_force: Seconds from publication of the removal until all
+            processes have it.
+        last_new_work: Seconds from that publication to the last call that
+            began in the data centre, with a resolution of 0.1 s.
+        back_in_force: Seconds from publication of the restore until all
+            processes have it.
     """
 
     data_centre: str
@@ -87,14 +90,14 @@
 
 
 class ControlResult(msgspec.Struct, kw_only=True):
-    """Control traffic, bytes a second for each process on average."""
+    """Control traffic, mean bytes per second and process."""
 
     bytes_per_second: float
     processes: int
 
 
 class VerdictResult(msgspec.Struct, kw_only=True):
-    """What must not happen; each is a list of what did."""
+    """Violations found in a run; each list must be empty."""
 
     wrong: list[str]
     broken: list[str]
@@ -104,7 +107,7 @@
 
     @property
     def is_clean(self) -> bool:
-        """Whether none of it happened."""
+        """Whether there were no violations and all calls finished."""
         return not (
             self.wrong
             or self.broken
@@ -115,11 +118,11 @@
 
 
 class Result(msgspec.Struct, kw_only=True):
-    """All that a run measured.
+    """Complete result of a run.
 
     Attributes:
-        falls: Times that a backend server in its cold start got more than
-            it bears.
+        falls: Times that a backend server in its cold start received more
+            requests than it can handle.
     """
 
     deployment: str
@@ -167,8 +170,8 @@
 
     Args:
         shape: The deployment.
-        tally: What was measured over the whole run.
-        samples: Those of the steady phase, for due and received.
+        tally: Measurements of the whole run.
+        samples: Samples of the steady phase, for ``due`` and ``received``.
     """
     names = set(sampler.backlogged(samples))
     shares = {p.name: p.share for p in shape.profiles if p.name in names}
@@ -207,7 +210,7 @@
 def last_new_work(
     samples: Sequence[sampler.Sample], accepted_at: float
 ) -> float:
-    """Return the seconds to the last begun call after an acceptance."""
+    """Return the seconds from a publication to the last call that began."""
     last = 0.0
     for before, after in zip(samples, samples[1:], strict=False):
         if after.runs_in_leaving > before.runs_in_leaving:
--- a/packages/daisypick_lab/src/daisypick_lab/run.py
+++ b/packages/daisypick_lab/src/daisypick_lab/run.py
@@ -1,4 +1,4 @@
-"""One run: an embedded fleet under load, a data centre out and back."""
+"""A run of an embedded fleet under load while a data centre is removed."""
 
 import collections
 from collections.abc import Callable
@@ -18,13 +18,13 @@
 
 
 class Plan(typing.NamedTuple):
-    """Lengths of the phases, seconds.
+    """Durations of the phases, seconds.
 
     Attributes:
-        ramp: Under load before anything is measured: the cold start.
-        steady: Measured for fairness and utilisation.
-        out: With one data centre out.
-        back: With all of them in again.
+        ramp: Cold start under load, before measurements begin.
+        steady: Phase in which fairness and utilisation are measured.
+        out: One data centre is out of service.
+        back: All data centres are in service again.
     """
 
     ramp: float = 4.0
@@ -34,31 +34,36 @@
 
 
 QUICK = Plan(ramp=1.5, steady=3.0, out=2.5, back=2.5)
-Say = Callable[[str], None]
+ReportProgress = Callable[[str], None]
 
 
-class _Clocked(typing.NamedTuple):
-    """When a phase began and ended, monotonic seconds."""
+class _PhaseTimes(typing.NamedTuple):
+    """Start and end of a phase, monotonic seconds."""
 
     start: float
     end: float
 
 
 class Run:
-    """A fleet, its load and what is measured of both."""
+    """Runs a fleet under load and measures both."""
 
     def __init__(
-        self, *, shape: shapes.Shape, plan: Plan, seed: int, say: Say
+        self,
+        *,
+        shape: shapes.Shape,
+        plan: Plan,
+        seed: int,
+        report_progress: ReportProgress,
     ) -> None:
         self._shape = shape
         self._plan = plan
         self._seed = seed
-        self._say = say
+        self._report_progress = report_progress
         self._fleet = embedded.EmbeddedFleet(shape=shape, seed=seed)
-        self._spans: dict[str, _Clocked] = {}
+        self._times_by_phase: dict[str, _PhaseTimes] = {}
 
     def run(self) -> results.Result:
-        """Run all phases and return what was measured."""
+        """Run all phases and return the result."""
         started_at = time.monotonic()
         try:
             self._fleet.start()
@@ -80,7 +85,9 @@
         self._phase(generator, _RAMP, self._plan.ramp)
         self._phase(generator, results.STEADY, self._plan.steady)
         leaving = self._leave_and_return(generator, sampler)
-        self._say("Ends the load; what is open finishes.")
+        self._report_progress(
+            "Stopping the load; waiting for open calls to finish."
+        )
         is_done = generator.stop(_FINISH_SECONDS)
         sampler.stop()
         return self._result(generator, sampler, leaving, is_done, started_at)
@@ -88,11 +95,11 @@
     def _phase(
         self, generator: load.LoadGenerator, name: str, seconds: float
     ) -> None:
-        self._say(f"Phase {name}, {seconds:.0f} s.")
+        self._report_progress(f"Phase {name}, {seconds:.0f} s.")
         generator.tally.phase = name
         start = time.monotonic()
         gevent.sleep(seconds)
-        self._spans[name] = _Clocked(start, time.monotonic())
+        self._times_by_phase[name] = _PhaseTimes(start, time.monotonic())
 
     def _leave_and_return(
         self,
@@ -100,12 +107,14 @@
         sampler: sampler_module.Sampler,
     ) -> results.LeavingResult:
         name = self._shape.leaving
-        self._say(f"Takes data centre {name} out.")
+        self._report_progress(f"Taking data centre {name} out of service.")
         seconds_out = self._fleet.set_data_centre(name, is_in=False)
         accepted_at = time.monotonic() - seconds_out
         self._phase(generator, results.OUT, self._plan.out)
         samples = sampler.between(accepted_at, time.monotonic())
-        self._say(f"Brings data centre {name} back in, its engines cold.")
+        self._report_progress(
+            f"Restoring data centre {name} with cold engines."
+        )
         self._fleet.restart_engines(name)
         seconds_in = self._fleet.set_data_centre(name, is_in=True)
         self._phase(generator, results.BACK, self._plan.back)
@@ -125,9 +134,11 @@
         started_at: float,
     ) -> results.Result:
         tally = generator.tally
-        steady = sampler.between(*self._spans[results.STEADY])
+        steady = sampler.between(*self._times_by_phase[results.STEADY])
         phases = [
-            results.phase(name, tally, sampler.between(*self._spans[name]))
+            results.phase(
+                name, tally, sampler.between(*self._times_by_phase[name])
+            )
             for name in (results.STEADY, results.OUT, results.BACK)
         ]
         refusals: collections.Counter[str] = collections.Counter()
--- a/packages/daisypick_lab/src/daisypick_lab/sampler.py
+++ b/packages/daisypick_lab/src/daisypick_lab/sampler.py
@@ -1,4 +1,4 @@
-"""Samples of a running fleet: service, backlog and busy slots over time."""
+"""Samples of service, backlog and busy slots of a running fleet."""
 
 import time
 import typing
@@ -9,20 +9,22 @@
 from daisypick_lab import tally as tally_module
 
 SAMPLE_SECONDS = 0.1
-_BACKLOGGED = 0.95
+_MIN_BACKLOGGED_RATIO = 0.95
 
 
 class Sample(typing.NamedTuple):
-    """The fleet at one moment.
+    """State of the fleet at one point in time.
 
     Attributes:
-        at: Seconds, monotonic.
-        tokens_by_organisation: Tokens served so far.
-        waiting_by_organisation: Calls that have shown no byte.
-        busy: Slots spoken for at engines whose data centre is in.
+        at: Time of the sample, monotonic seconds.
+        tokens_by_organisation: Tokens served so far by organisation.
+        waiting_by_organisation: Calls that have received no byte of the
+            response.
+        busy: Occupied slots of engines whose data centre is in service.
         slots: Slots of those engines.
-        runs_in_leaving: Calls begun in the data centre that leaves.
-        control_bytes: Bytes of control so far.
+        runs_in_leaving: Calls begun so far in the data centre that the run
+            takes out of service.
+        control_bytes: Bytes of control traffic so far.
     """
 
     at: float
@@ -35,7 +37,7 @@
 
 
 class Sampler:
-    """Takes samples until it is stopped."""
+    """Samples a fleet periodically until it is stopped."""
 
     def __init__(
         self, *, fleet: embedded.EmbeddedFleet, tally: tally_module.Tally
@@ -46,24 +48,24 @@
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Begin to sample."""
+        """Start sampling."""
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Take no more samples."""
+        """Stop sampling."""
         if self._greenlet is not None:
             self._greenlet.kill()
 
     def between(self, start: float, end: float) -> list[Sample]:
-        """Return the samples of a span."""
+        """Return the samples of a time interval."""
         return [s for s in self.samples if start <= s.at <= end]
 
     def _run(self) -> None:
         while True:
-            self.samples.append(self._take())
+            self.samples.append(self._take_sample())
             gevent.sleep(SAMPLE_SECONDS)
 
-    def _take(self) -> Sample:
+    def _take_sample(self) -> Sample:
         fleet = self._fleet
         loads = [
             engine.batch.load()
@@ -87,26 +89,26 @@
 
 
 def backlogged(samples: list[Sample]) -> list[str]:
-    """Return the organisations that had work waiting all along.
+    """Return the organisations that had a backlog throughout.
 
-    A closed loop has a moment without waiting work now and then; those that
-    had some in 95 samples of 100 count.
+    A closed-loop caller has no waiting call for brief moments between calls,
+    so an organisation counts if calls were waiting in 95% of the samples.
     """
     if not samples:
         return []
     return [
         name
         for name in samples[0].waiting_by_organisation
-        if _waiting_part(samples, name) >= _BACKLOGGED
+        if _waiting_ratio(samples, name) >= _MIN_BACKLOGGED_RATIO
     ]
 
 
 def utilisation(samples: list[Sample]) -> float:
-    """Return the part of the slots that was in use."""
+    """Return the fraction of slots that was in use."""
     slots = sum(sample.slots for sample in samples)
     return sum(sample.busy for sample in samples) / slots if slots else 0.0
 
 
-def _waiting_part(samples: list[Sample], name: str) -> float:
+def _waiting_ratio(samples: list[Sample], name: str) -> float:
     waiting = [s for s in samples if s.waiting_by_organisation.get(name, 0)]
     return len(waiting) / len(samples)
--- a/packages/daisypick_lab/src/daisypick_lab/shapes.py
+++ b/packages/daisypick_lab/src/daisypick_lab/shapes.py
@@ -1,4 +1,4 @@
-"""What an embedded fleet consists of, and today's deployments of the brief.
+"""Size and load of embedded fleets: the demo and the reference deployments.
 
 Examples:
     >>> [len(s.data_centres) for s in (DEMO, UNION, KOPACKA)]
@@ -12,24 +12,26 @@
 from daisypick_lab import load
 from daisypick_standins.engine import settings as engine_settings
 
-_LARGE = 4
-_FLOOD = 40
+_LARGE_COUNT = 4
+_OVERLOAD_WORKERS = 40
 
 
 class Shape(typing.NamedTuple):
-    """A fleet and its load.
+    """Description of a fleet and its load.
 
     Attributes:
         name: Name of the deployment.
         data_centres: Names of the data centres.
-        routers: Routers.
+        routers: Number of routers.
         model_service: Name of the model service.
-        replicas: Its backend servers, spread over the data centres.
+        replicas: Number of its backend servers, distributed over the data
+            centres.
         plain_service: Name of the plain service.
-        plain_replicas: Its backend servers.
-        engine: What its engines are like.
-        profiles: Its organisations and how they call.
-        leaving: The data centre that operators take out and bring back.
+        plain_replicas: Number of its backend servers.
+        engine: Settings of the engines.
+        profiles: Load profile of each organisation.
+        leaving: The data centre that a run takes out of service and
+            restores.
     """
 
     name: str
@@ -44,11 +46,11 @@
     leaving: str
 
 
-# A whole answer of the shortest length warms an engine for one more request.
+# One response of the shortest length warms an engine up for one more request.
 _WARM_TOKENS_PER_SLOT = 8
 
 
-def _engine(slots: int) -> engine_settings.EngineSettings:
+def _make_engine(slots: int) -> engine_settings.EngineSettings:
     cold_slots = 2
     return engine_settings.EngineSettings(
         slots=slots,
@@ -60,7 +62,7 @@
     )
 
 
-def _organisation(
+def _make_profile(
     name: str, share: float, services: tuple[str, str], **fields: typing.Any
 ) -> load.Profile:
     model_service, plain_service = services
@@ -74,25 +76,26 @@
     )
 
 
-def _sixteen(
+def _make_profiles(
     names: tuple[str, ...], services: tuple[str, str]
 ) -> tuple[load.Profile, ...]:
-    """Return a few large, many small organisations, a quarter not backlogged.
+    """Return profiles of a few large and many small organisations.
 
-    One of the large ones floods, one calls a single router only.
+    A quarter of them is not backlogged. One of the large ones sends more than
+    its share, another one calls a single router only.
     """
     profiles = []
     for number, name in enumerate(names):
-        is_large = number < _LARGE
+        is_large = number < _LARGE_COUNT
         fields: dict[str, typing.Any] = {"workers": 12 if is_large else 6}
         if number == 0:
-            fields["workers"] = _FLOOD
+            fields["workers"] = _OVERLOAD_WORKERS
         if number == 1:
             fields["routers"] = (0,)
-        if number % _LARGE == _LARGE - 1:
+        if number % _LARGE_COUNT == _LARGE_COUNT - 1:
             fields |= {"workers": 1, "pause": 1.0, "plain_share": 0.5}
-        share = float(_LARGE) if is_large else 1.0
-        profiles.append(_organisation(name, share, services, **fields))
+        share = float(_LARGE_COUNT) if is_large else 1.0
+        profiles.append(_make_profile(name, share, services, **fields))
     return tuple(profiles)
 
 
@@ -105,17 +108,19 @@
     replicas=4,
     plain_service="desk",
     plain_replicas=1,
-    engine=_engine(6),
+    engine=_make_engine(6),
     profiles=(
-        _organisation("rila-farm", 1.0, _DEMO_SERVICES, workers=_FLOOD),
-        _organisation("pirin-farm", 1.0, _DEMO_SERVICES, workers=6),
-        _organisation("vitosha-farm", 1.0, _DEMO_SERVICES, workers=6),
-        _organisation(
+        _make_profile(
+            "rila-farm", 1.0, _DEMO_SERVICES, workers=_OVERLOAD_WORKERS
+        ),
+        _make_profile("pirin-farm", 1.0, _DEMO_SERVICES, workers=6),
+        _make_profile("vitosha-farm", 1.0, _DEMO_SERVICES, workers=6),
+        _make_profile(
             "rodopi-farm", 1.0, _DEMO_SERVICES, workers=6, routers=(0,)
         ),
-        _organisation("strandzha-farm", 2.0, _DEMO_SERVICES, workers=10),
-        _organisation("balkan-farms", 4.0, _DEMO_SERVICES, workers=16),
-        _organisation(
+        _make_profile("strandzha-farm", 2.0, _DEMO_SERVICES, workers=10),
+        _make_profile("balkan-farms", 4.0, _DEMO_SERVICES, workers=16),
+        _make_profile(
             "family-desk",
             2.0,
             _DEMO_SERVICES,
@@ -123,7 +128,7 @@
             pause=0.3,
             plain_share=0.7,
         ),
-        _organisation(
+        _make_profile(
             "school-trips",
             1.0,
             _DEMO_SERVICES,
@@ -144,8 +149,8 @@
     replicas=6,
     plain_service="desk",
     plain_replicas=4,
-    engine=_engine(4),
-    profiles=_sixteen(
+    engine=_make_engine(4),
+    profiles=_make_profiles(
         tuple(f"farm-{number:02}" for number in range(1, 17)),
         _UNION_SERVICES,
     ),
@@ -161,8 +166,8 @@
     replicas=5,
     plain_service="ordering",
     plain_replicas=3,
-    engine=_engine(4),
-    profiles=_sixteen(
+    engine=_make_engine(4),
+    profiles=_make_profiles(
         tuple(f"workshop-{number:02}" for number in range(1, 17)),
         _KOPACKA_SERVICES,
     ),
--- a/packages/daisypick_lab/src/daisypick_lab/tally.py
+++ b/packages/daisypick_lab/src/daisypick_lab/tally.py
@@ -1,9 +1,9 @@
-"""What a run measured, by organisation, and the fairness gap.
+"""Measurements of a run by organisation, and the fairness gap.
 
-The gap between two backlogged organisations over a span is the difference of
-their services per share in that span. Its largest value over all spans of a
-run is the range of the running difference, so one pass over the samples
-finds it.
+The gap between two backlogged organisations over an interval is the
+difference of their services per share in that interval. Its largest value
+over all intervals of a run equals the range of the cumulative difference, so
+one pass over the samples finds it.
 
 Examples:
     >>> samples = [{"a": 0.0, "b": 0.0}, {"a": 9.0, "b": 2.0},
@@ -28,7 +28,7 @@
 
 
 class Latency:
-    """A histogram of seconds."""
+    """A latency histogram."""
 
     def __init__(self) -> None:
         self._histogram = histogram.HdrHistogram(
@@ -36,17 +36,17 @@
         )
 
     def record(self, seconds: float) -> None:
-        """Add a value."""
+        """Record a latency."""
         value = int(seconds * _MICROSECONDS)
         self._histogram.record_value(min(_LONGEST_MICROSECONDS, max(1, value)))
 
     @property
     def count(self) -> int:
-        """How many values were recorded."""
+        """Number of recorded values."""
         return self._histogram.get_total_count()
 
     def percentile(self, percent: float) -> float:
-        """Return a percentile, seconds; 0 without values."""
+        """Return a percentile in seconds; 0 if no value was recorded."""
         if not self.count:
             return 0.0
         value = self._histogram.get_value_at_percentile(percent)
@@ -54,13 +54,14 @@
 
 
 class OrganisationTally:
-    """What one organisation asked for and got.
+    """Measurements of one organisation.
 
     Attributes:
-        sent: Calls begun.
-        tokens: Tokens served, prompt and answer.
-        open_count: Calls without a final answer now.
-        waiting_count: Those of them that have shown no byte.
+        sent: Number of calls begun.
+        tokens: Tokens served, of prompts and completions.
+        open_count: Number of calls in progress.
+        waiting_count: Number of these that have received no byte of the
+            response.
     """
 
     def __init__(self) -> None:
@@ -75,14 +76,14 @@
 
 
 class Verdict(typing.NamedTuple):
-    """What must not happen, counted over a run.
+    """Violations found in a run.
 
     Attributes:
-        wrong: Answers that were not the request's own, with reasons.
-        broken: Answers that were not whole, with reasons.
-        ran_twice: Markers of calls that ran more than once though they may
-            not be repeated.
-        untrue_refusals: Markers of calls that were told "not run" and ran.
+        wrong: Reasons for responses that belong to another request.
+        broken: Reasons for incomplete responses.
+        ran_twice: Markers of non-repeatable calls that ran more than once.
+        untrue_refusals: Markers of calls that ran although their callers
+            were told "not run".
     """
 
     wrong: tuple[str, ...]
@@ -92,12 +93,12 @@
 
     @property
     def is_clean(self) -> bool:
-        """Whether none of it happened."""
+        """Whether there were no violations."""
         return not any(self)
 
 
 class PhaseTally:
-    """What one part of a run measured, over all organisations."""
+    """Measurements of one phase of a run, over all organisations."""
 
     def __init__(self) -> None:
         self.outcomes: collections.Counter[str] = collections.Counter()
@@ -105,14 +106,14 @@
 
 
 class Tally:
-    """What a run measured.
+    """Measurements of a run.
 
     Attributes:
-        by_organisation: A tally each.
-        faults: Reasons by outcome, for answers that were wrong or broken.
-        told_not_run: Markers whose callers heard nothing but "not run".
-        phase: Name of the part of the run that is on.
-        by_phase: What was measured in each part.
+        by_organisation: Measurements of each organisation.
+        faults: Outcome and reason of each wrong or broken response.
+        told_not_run: Markers of calls whose callers received only "not run".
+        phase: Name of the current phase.
+        by_phase: Measurements of each phase.
     """
 
     def __init__(self) -> None:
@@ -131,7 +132,7 @@
     def count(
         self, organisation: str, marker: str, answered: callers.Answered
     ) -> None:
-        """Count the end of a call."""
+        """Record the outcome of a finished call."""
         own = self.of(organisation)
         own.outcomes[answered.outcome] += 1
         phase = self.by_phase.setdefault(self.phase, PhaseTally())
@@ -146,10 +147,11 @@
             self.faults.append((answered.outcome, reason))
 
     def verdict(self, runs_by_marker: Mapping[str, int]) -> Verdict:
-        """Compare with what the backend servers say that they ran.
+        """Compare the outcomes with the runs that backend servers report.
 
         Args:
-            runs_by_marker: Runs of all calls, over all backend servers.
+            runs_by_marker: Number of runs of each call over all backend
+                servers.
         """
         untrue = [m for m in self.told_not_run if runs_by_marker.get(m)]
         twice = [
@@ -177,12 +179,12 @@
     samples: Sequence[Mapping[str, float]],
     share_by_organisation: Mapping[str, float],
 ) -> float:
-    """Return the largest gap in service per share over all spans and pairs.
+    """Return the largest gap in service per share over intervals and pairs.
 
     Args:
-        samples: Service so far by organisation, in the order of time.
-        share_by_organisation: The organisations that count, all backlogged
-            from the first sample to the last.
+        samples: Cumulative service by organisation, in time order.
+        share_by_organisation: Shares of the organisations to compare, all
+            backlogged from the first sample to the last.
     """
     largest = 0.0
     for first, second in itertools.combinations(share_by_organisation, 2):
--- a/packages/daisypick_lab/tests/test_commands.py
+++ b/packages/daisypick_lab/tests/test_commands.py
@@ -16,13 +16,13 @@
 @pytest.mark.parametrize(
     ("name", "arguments", "reason"),
     [
-        ("demo", "--seed x", "seed: 'x' is no whole number"),
-        ("measure", "--seed x", "seed: 'x' is no whole number"),
+        ("demo", "--seed x", "seed: 'x' is not a whole number"),
+        ("measure", "--seed x", "seed: 'x' is not a whole number"),
         ("measure", "--deployment mars", "deployment: 'mars' is unknown"),
         ("measure", "--compare /nowhere.json", "compare: /nowhere.json"),
     ],
 )
-def test_bad_options_are_named(name, arguments, reason):
+def test_invalid_options_are_reported(name, arguments, reason):
     exit_code, error = _run(name, arguments)
     assert exit_code == commands.EXIT_USAGE
     assert reason in error
--- a/packages/daisypick_lab/tests/test_run.py
+++ b/packages/daisypick_lab/tests/test_run.py
@@ -7,10 +7,11 @@
 from daisypick_lab import shapes
 
 
-def test_small_run_and_its_result(tmp_path):
-    # A whole fleet over real sockets, while a data centre goes out under load
-    # and comes back: each answer must be whole and its own, nothing may run
-    # twice, and what is refused as "not run" must not have run.
+def test_run_without_violations_and_its_report(tmp_path):
+    # A whole fleet over real sockets, while a data centre is taken out of
+    # service under load and restored: each response must be complete and
+    # belong to its request, nothing may run twice, and a request refused as
+    # "not run" must not have run.
     shape = shapes.DEMO._replace(
         engine=shapes.DEMO.engine._replace(token_interval=0.002),
         profiles=tuple(
@@ -19,8 +20,10 @@
         ),
     )
     plan = run.Plan(ramp=0.2, steady=0.3, out=0.3, back=0.3)
-    said = []
-    subject = run.Run(shape=shape, plan=plan, seed=1, say=said.append)
+    messages = []
+    subject = run.Run(
+        shape=shape, plan=plan, seed=1, report_progress=messages.append
+    )
     result = subject.run()
     assert result.verdict == results.VerdictResult(
         wrong=[],
--- a/packages/daisypick_lab/tests/test_tally.py
+++ b/packages/daisypick_lab/tests/test_tally.py
@@ -2,7 +2,7 @@
 from daisypick_lab import tally
 
 
-def test_verdict_compares_with_what_ran():
+def test_verdict_compares_outcomes_with_reported_runs():
     subject = tally.Tally()
     subject.count("union", "a", callers.Answered(callers.WRONG, "other"))
     subject.count("union", "b", callers.Answered(callers.BROKEN, "cut"))
@@ -19,7 +19,7 @@
     assert tally.Tally().verdict({"f": 2}).is_clean
 
 
-def test_percentiles():
+def test_latency_percentiles():
     latency = tally.Latency()
     assert latency.percentile(95) == 0.0
     for milliseconds in range(1, 101):
