--- a/packages/daisypick_lab/src/daisypick_lab/dispatch_measure.py
+++ b/packages/daisypick_lab/src/daisypick_lab/dispatch_measure.py
@@ -1,8 +1,8 @@
-"""Measure waiting, picking and cold starts in the dispatch model.
+"""Measures queueing, server selection and cold starts in the dispatch model.
 
-Usage: ``python -m daisypick_lab.dispatch_measure [SCENARIO...]`` prints a
-line of JSON for each scenario; without names all are run. Every figure is of
-virtual time and of the seed that is printed with it.
+Usage: ``python -m daisypick_lab.dispatch_measure [SCENARIO...]`` prints lines
+of JSON for each scenario; without names it runs all of them. Every figure is
+in virtual time and depends on the seed that is printed with it.
 """
 
 from collections.abc import Callable
@@ -37,7 +37,7 @@
 
 
 class Arrivals:
-    """Requests of many organisations with heavy-tailed answers."""
+    """Requests of many organisations with heavy-tailed lengths."""
 
     def __init__(
         self, *, fleet: dispatch_model.Fleet, routers: list[str]
@@ -60,7 +60,7 @@
         )
 
     def at_rate(self, rate: float, until: float) -> None:
-        """Submit at random with a mean rate a second."""
+        """Submit with random intervals at a mean rate per second."""
         self.submit()
         if self._fleet.clock.now < until:
             self._fleet.clock.after(
@@ -70,7 +70,7 @@
 
 @register("backlog")
 def measure_backlog() -> list[Result]:
-    """Hold all the backlog at one of many routers, then at all."""
+    """Queue the whole backlog at 1, 10 and all 200 of the routers."""
     results = []
     sizes = dispatch_model.Sizes(routers=200, agents=60, slots=8)
     for holders in (1, 10, 200):
@@ -91,7 +91,7 @@
 
 @register("near_capacity")
 def measure_near_capacity() -> list[Result]:
-    """Arrive at 95 % of capacity at all of many routers."""
+    """Send requests at 95 % of capacity to all of many routers."""
     sizes = dispatch_model.Sizes(routers=200, agents=60, slots=8)
     results = []
     for seeks in (False, True):
@@ -112,7 +112,7 @@
 
 @register("pick")
 def measure_pick() -> list[Result]:
-    """Compare the policies, with two slow servers, at 70 % of capacity."""
+    """Compare pick policies at 70 % of capacity with two slow servers."""
     results = []
     for policy in sorted(pick.by_name):
         sizes = dispatch_model.Sizes(routers=20, agents=40, slots=8)
@@ -132,7 +132,7 @@
 
 @register("cold")
 def measure_cold() -> list[Result]:
-    """Turn a third of the servers cold without a word, then count falls."""
+    """Turn a third of the servers cold unannounced; count the crashes."""
     results = []
     for cold_slots in (8, 1):
         sizes = dispatch_model.Sizes(routers=20, agents=30, slots=8)
@@ -164,7 +164,7 @@
 
 @register("data_centre")
 def measure_data_centre() -> list[Result]:
-    """Take one of three data centres out and back, its servers cold."""
+    """Take one of three data centres out and in again with cold servers."""
     sizes = dispatch_model.Sizes(routers=50, agents=30, data_centres=3)
     times = server_model.ServerTimes(cold_seconds=8.0)
     fleet = dispatch_model.Fleet(sizes=sizes, times=times, seed=SEED)
@@ -234,7 +234,7 @@
 
 
 def main(names: list[str]) -> None:
-    """Run scenarios and print their results."""
+    """Run the named scenarios and print their results."""
     for name in names or sorted(by_name):
         began = time.perf_counter()
         for result in by_name[name]():
--- a/packages/daisypick_lab/src/daisypick_lab/dispatch_model.py
+++ b/packages/daisypick_lab/src/daisypick_lab/dispatch_model.py
@@ -1,9 +1,10 @@
 """Real gates and dispatchers under a virtual clock.
 
-The decisions are those of production; only sockets, servers and time are
-models. It answers questions about waiting: how much capacity idles while a
-router holds work, what a draining data centre does to requests, where a pick
-policy sends them. It is no simulator of a cluster: one service, no platform.
+The decisions are made by the production code; only sockets, servers and time
+are simulated. The model answers questions about queueing: how much capacity
+is idle while a router has queued requests, how draining a data centre affects
+requests, and where a pick policy sends them. It covers one service and no
+platform, so it is not a simulator of a cluster.
 """
 
 import collections
@@ -34,13 +35,13 @@
 
 
 class Sizes(typing.NamedTuple):
-    """How large the model is.
+    """Sizes of the modelled fleet.
 
     Attributes:
         routers: Number of routers.
-        agents: Number of agents, each before one server.
-        slots: Slots of a server.
-        data_centres: Data centres, the agents spread evenly over them.
+        agents: Number of agents, each in front of one server.
+        slots: Slots per server.
+        data_centres: Data centres, with agents distributed evenly.
     """
 
     routers: int = 4
@@ -50,24 +51,24 @@
 
 
 class Watch:
-    """What happens in the whole model, for its measures.
+    """Metrics of the whole model.
 
     Attributes:
-        held: Requests that a router has and that do not run.
-        running: Attempts that run.
-        limit: Attempts that may run at gates that are open.
-        idle_while_held: Slot-seconds free while any router held work.
-        slot_seconds_while_held: Slot-seconds of that time.
-        attempts: Attempts that routers sent.
-        submitted: Requests that came in.
-        finished: Requests with a whole answer.
-        failures: Failures told to callers.
-        cut: Answers that broke off.
+        held: Requests accepted by a router that are not running.
+        running: Running attempts.
+        limit: Total concurrency limit of the open gates.
+        idle_while_held: Idle slot-seconds while any request was queued.
+        slot_seconds_while_held: Available slot-seconds in that time.
+        attempts: Attempts sent by routers.
+        submitted: Submitted requests.
+        finished: Requests with a complete response.
+        failures: Failures returned to callers.
+        cut: Truncated responses.
         first_tokens: Seconds from arrival to first token.
         starts: Time and agent of each start.
-        returns_by_title: Attempts that came back "not run", by code.
-        notices: Words of idle agents to peers.
-        idle_for_held: Slot-seconds free for which there was held work.
+        returns_by_title: Attempts returned as "not run", by code title.
+        notices: Idle announcements of agents to peers.
+        idle_for_held: Idle slot-seconds that queued requests could have used.
     """
 
     def __init__(self, *, clock: virtual_clock.VirtualClock) -> None:
@@ -90,7 +91,7 @@
         self._since = 0.0
 
     def note(self, *, held: int = 0, running: int = 0, limit: int = 0) -> None:
-        """Account for the time since the last change, then change."""
+        """Account for the time since the last change; apply the changes."""
         now = self._clock.now
         if self.held > 0:
             span = now - self._since
@@ -104,7 +105,7 @@
         self.limit += limit
 
     def clear(self) -> None:
-        """Start the measures of waiting anew, after a warm-up."""
+        """Reset the queueing metrics, for instance after a warm-up."""
         self.note()
         self.idle_while_held = 0.0
         self.idle_for_held = 0.0
@@ -117,20 +118,20 @@
 
     @property
     def utilisation(self) -> float:
-        """Share of the slots that ran, of those that held work could fill."""
+        """Used fraction of the slots that queued requests could fill."""
         if not self.slot_seconds_while_held:
             return 1.0
         return 1.0 - self.idle_for_held / self.slot_seconds_while_held
 
     def percentile(self, percent: float) -> float:
-        """Return a percentile of the times to first token, seconds."""
+        """Return a percentile of the time to first token in seconds."""
         times = sorted(self.first_tokens)
         position = min(len(times) - 1, int(len(times) * percent / 100.0))
         return times[position]
 
 
 class AgentModel:
-    """Drives a real gate; answers go to routers by the network."""
+    """Drives a real gate; responses go to routers over the network."""
 
     def __init__(self, *, fleet: "Fleet", name: str, data_centre: str) -> None:
         slots = fleet.sizes.slots
@@ -154,11 +155,11 @@
         fleet.clock.every(TICK, self._tick)
 
     def offer(self, attempt: attempt_message.Attempt) -> None:
-        """Take in an attempt."""
+        """Offer an attempt to the gate."""
         self.perform(self.gate.offer(attempt, self._fleet.clock.now))
 
     def withdraw(self, attempt: attempt_message.Attempt) -> None:
-        """Take an attempt back; a waiting one is refused on its stream."""
+        """Withdraw an attempt; a waiting one is refused on its stream."""
         status, due = self.gate.withdraw(
             attempt.attempt_id, self._fleet.clock.now, epoch=attempt.epoch
         )
@@ -167,7 +168,7 @@
             self._answer(attempt, "returned", _WITHDRAWN)
 
     def seek(self) -> None:
-        """Tell some peers if there is nothing to do here."""
+        """Announce idle slots to some peers if an announcement is due."""
         now = self._fleet.clock.now
         load = self.gate.load()
         if not self._fleet.seeks or not self.seeker.is_due(
@@ -183,19 +184,19 @@
             )
 
     def noticed(self, peer: str, load: load_message.Load) -> None:
-        """Take an idle peer's word."""
+        """Receive the announcement of an idle peer."""
         now = self._fleet.clock.now
         if peer != self.name:
             self.perform(self.gate.note_idle(peer, load, now))
 
     def configure(self, configuration: model.Configuration) -> None:
-        """Take a configuration, late or crossed as it may come."""
+        """Apply a configuration, which may arrive late or out of order."""
         state = drain_state.derive(configuration, self.name)
         now = self._fleet.clock.now
         self.perform(self.gate.apply_drain_state(state, now))
 
     def drain(self, reason: str) -> None:
-        """Close for a reason of the process's own."""
+        """Drain the gate for a reason internal to the process."""
         self.perform(self.gate.drain(reason, self._fleet.clock.now))
 
     def perform(self, due: list[gate_actions.Action]) -> None:
@@ -290,7 +291,7 @@
         fleet.clock.every(TICK, self._tick)
 
     def submit(self, request: core_dispatcher.Request) -> None:
-        """Take a caller's request."""
+        """Submit a caller's request to the dispatcher."""
         watch = self._fleet.watch
         watch.note(held=1)
         watch.submitted += 1
@@ -306,7 +307,7 @@
         attempt_id: str,
         *arguments: typing.Any,
     ) -> None:
-        """Take an agent's word on an attempt, with the load it carries."""
+        """Receive an event of an attempt and the load sent with it."""
         now = self._fleet.clock.now
         request_id = attempt_id.rpartition(".")[0]
         if event == "first_token":
@@ -326,12 +327,12 @@
         self.perform(due or [])
 
     def hear(self, agent: str, load: load_message.Load) -> None:
-        """Take an agent's load."""
+        """Record the load of an agent."""
         now = self._fleet.clock.now
         self.perform(self.dispatcher.record_load(agent, load, now))
 
     def configure(self, configuration: model.Configuration) -> None:
-        """Take a configuration."""
+        """Apply a configuration."""
         addresses = [
             core_dispatcher.AgentAddress(
                 address=server.agent,
@@ -415,7 +416,7 @@
     def configuration(
         self, generation: int, *, out: tuple[str, ...] = ()
     ) -> model.Configuration:
-        """Return a configuration with some data centres out."""
+        """Return a configuration with some data centres out of service."""
         return model.EMPTY._replace(
             generation=generation,
             backend_servers_by_name=types.MappingProxyType(
@@ -442,14 +443,17 @@
         )
 
     def publish(self, configuration: model.Configuration) -> None:
-        """Give a configuration to all agents and routers at once."""
+        """Apply a configuration at all agents and routers at once."""
         for agent in self.agent_by_name.values():
             agent.configure(configuration)
         for router in self.router_by_name.values():
             router.configure(configuration)
 
     def acquaint(self) -> None:
-        """Let each router hear each agent once, as after a day's work."""
+        """Report the load of each agent to each router once.
+
+        Routers of a fleet that has run for a while know all agents.
+        """
         for router in self.router_by_name.values():
             for agent in self.agents:
                 router.hear(agent.name, agent.gate.load())
@@ -463,7 +467,7 @@
         prefix: str = "",
         patience: float = 60.0,
     ) -> None:
-        """Let a caller send a request to a router."""
+        """Submit a request of a caller to a router."""
         request_id = f"q{len(self.tokens_by_request)}"
         self.tokens_by_request[request_id] = tokens
         self.router_by_name[router].submit(
@@ -483,5 +487,5 @@
     code=codes.WITHDRAWN, reason="withdrawn by the router"
 )
 _ENGINE_FAILED = failure_value.Failure(
-    code=codes.ENGINE_FAILED, reason="server fell over"
+    code=codes.ENGINE_FAILED, reason="server crashed"
 )
--- a/packages/daisypick_lab/src/daisypick_lab/server_model.py
+++ b/packages/daisypick_lab/src/daisypick_lab/server_model.py
@@ -1,7 +1,7 @@
-"""A backend server reduced to times: first token, tokens, cold start.
+"""A timing model of a backend server: first token, tokens, cold start.
 
-A cold server is slow and bears a few requests; one more and it falls over:
-everything that runs on it fails, and it is cold anew.
+A cold server is slow and can handle only a few concurrent requests. One more
+makes it crash: all its running requests fail and its cold start begins again.
 """
 
 import collections
@@ -16,12 +16,12 @@
 
     Attributes:
         miss: Seconds to first token without a cached prefix.
-        hit: Seconds to first token with one.
+        hit: Seconds to first token with a cached prefix.
         token: Seconds between tokens.
-        cold_factor: How much slower a cold server is.
-        cold_seconds: How long it stays cold.
-        cold_bears: Requests that it bears at once while cold.
-        prefixes: Prefixes that fit into its cache.
+        cold_factor: Slowdown factor of a cold server.
+        cold_seconds: Duration of a cold start.
+        cold_bears: Concurrent requests that a cold server can handle.
+        prefixes: Number of prefixes that the cache holds.
     """
 
     miss: float = 0.25
@@ -34,7 +34,7 @@
 
 
 class Outcome(typing.NamedTuple):
-    """How a run ended."""
+    """The outcome of a run."""
 
     tokens: int
     is_healthy: bool
@@ -44,10 +44,10 @@
     """Runs requests in virtual time.
 
     Attributes:
-        factor: How slow the server is, 1 for a good one.
-        hits: Runs that found their prefix cached.
-        misses: Runs that did not.
-        falls: Times it fell over.
+        factor: Slowdown factor of the server, 1 for a healthy one.
+        hits: Number of runs whose prefix was cached.
+        misses: Number of runs whose prefix was not cached.
+        falls: Number of crashes.
     """
 
     def __init__(
@@ -67,11 +67,11 @@
 
     @property
     def is_cold(self) -> bool:
-        """Whether it is in its cold start."""
+        """Whether the server is in a cold start."""
         return self._clock.now < self._cold_until
 
     def turn_cold(self) -> None:
-        """Begin a cold start without telling anybody."""
+        """Begin a cold start without notifying anyone."""
         self._cold_until = self._clock.now + self._times.cold_seconds
         self._prefixes.clear()
 
@@ -83,7 +83,7 @@
         on_token: Callable[[], None],
         on_end: Callable[[Outcome], None],
     ) -> None:
-        """Run a request; the callbacks tell its first token and its end."""
+        """Run a request; call back at its first token and at its end."""
         self._end_by_run[run_id] = on_end
         if self.is_cold and len(self._end_by_run) > self._times.cold_bears:
             self._fall_over()
--- a/packages/daisypick_lab/src/daisypick_lab/virtual_clock.py
+++ b/packages/daisypick_lab/src/daisypick_lab/virtual_clock.py
@@ -1,4 +1,4 @@
-"""A virtual clock and a network of delays and cuts.
+"""A virtual clock and a simulated network with delays and partitions.
 
 Examples:
     >>> clock = VirtualClock()
@@ -19,7 +19,7 @@
 
 
 class VirtualClock:
-    """Runs callbacks in the order of their times.
+    """Runs callbacks in order of their scheduled times.
 
     Attributes:
         now: Seconds since the start.
@@ -33,12 +33,12 @@
     def after(
         self, delay: float, act: Callable, *arguments: typing.Any
     ) -> None:
-        """Run a callback some seconds from now."""
+        """Schedule a callback after a delay in seconds."""
         entry = (self.now + delay, next(self._ids), act, arguments)
         heapq.heappush(self._heap, entry)
 
     def every(self, period: float, act: Callable[[], None]) -> None:
-        """Run a callback again and again."""
+        """Schedule a callback periodically."""
 
         def _again() -> None:
             act()
@@ -47,7 +47,7 @@
         self.after(period, _again)
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Advance the time, running the callbacks that are due."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, act, arguments = heapq.heappop(self._heap)
             act(*arguments)
@@ -55,7 +55,10 @@
 
 
 class Network:
-    """Delivers after a delay; a cut end gets its messages when it heals."""
+    """Delivers messages after a delay.
+
+    Messages of a disconnected endpoint are delivered when it is reconnected.
+    """
 
     def __init__(self, *, clock: VirtualClock, delay: float) -> None:
         self._clock = clock
@@ -73,10 +76,10 @@
         self._clock.after(self._delay, act, *arguments)
 
     def cut(self, end: str) -> None:
-        """Hold all messages to and from an end."""
+        """Queue all messages to and from an endpoint."""
         self._held_by_end.setdefault(end, [])
 
     def heal(self, end: str) -> None:
-        """Deliver what was held, in order."""
+        """Deliver the queued messages in order; end the cut."""
         for act, arguments in self._held_by_end.pop(end, ()):
             self._clock.after(self._delay, act, *arguments)
--- a/packages/daisypick_lab/tests/test_dispatch_model.py
+++ b/packages/daisypick_lab/tests/test_dispatch_model.py
@@ -5,7 +5,7 @@
 
 
 def load_fleet(fleet, *, until, rate, seed=1, tokens=40):
-    """Let requests arrive at random at all routers."""
+    """Submit requests at random times to all routers."""
     rng = random.Random(seed)
     routers = sorted(fleet.router_by_name)
 
@@ -34,9 +34,9 @@
     assert watch.finished == watch.submitted > 500
 
 
-def test_data_centre_goes_out_and_returns():
-    # Operators take a data centre out under load and bring it back. Callers
-    # must see nothing: what runs ends, what waits finishes elsewhere.
+def test_data_centre_out_and_in_loses_no_request():
+    # A data centre is taken out of service under load and in again. No call
+    # may fail: running attempts end and waiting ones finish elsewhere.
     fleet = dispatch_model.Fleet()
     load_fleet(fleet, until=30.0, rate=130.0)
     fleet.clock.run(10.0)
@@ -50,10 +50,10 @@
     assert_all_served(fleet)
 
 
-def test_out_holds_though_only_agents_hear_of_it():
-    # The store goes down right after "out" was accepted: routers do not hear
-    # of it for ten seconds and go on sending. The gates refuse truly, and
-    # the requests finish elsewhere.
+def test_nothing_starts_if_only_agents_receive_the_out():
+    # The store fails right after "out" was accepted: routers do not receive
+    # the change and keep sending for ten seconds. The gates must refuse
+    # without running, and the requests must finish elsewhere.
     fleet = dispatch_model.Fleet()
     load_fleet(fleet, until=20.0, rate=130.0)
     fleet.clock.run(10.0)
@@ -64,10 +64,10 @@
     assert_all_served(fleet)
 
 
-def test_out_holds_though_only_routers_hear_of_it():
-    # The agents of the data centre are those who hear late. Routers take
-    # back what waits there and send nothing more: no start after the time
-    # that a message takes.
+def test_nothing_starts_if_only_routers_receive_the_out():
+    # The agents do not receive the change. Routers withdraw the attempts that
+    # wait in the data centre and send no more: nothing may start there once
+    # the messages in flight have arrived.
     fleet = dispatch_model.Fleet()
     load_fleet(fleet, until=20.0, rate=130.0)
     fleet.clock.run(10.0)
@@ -78,9 +78,10 @@
     assert_all_served(fleet)
 
 
-def test_out_and_in_race():
-    # Two operators race: out is generation 2, in is 3, out again is 4. Half
-    # of the fleet hears them crossed, the "in" last. All end as 4 says.
+def test_concurrent_out_and_in():
+    # Concurrent changes: generation 2 is out, 3 is in, 4 is out again. Half
+    # of the agents receive them out of order, the "in" last. All must end in
+    # the state of generation 4.
     fleet = dispatch_model.Fleet()
     load_fleet(fleet, until=20.0, rate=130.0)
     fleet.clock.run(10.0)
@@ -98,9 +99,10 @@
     assert_all_served(fleet)
 
 
-def test_out_while_a_router_is_cut_off():
-    # A router is cut off while the data centre goes out. Its attempts arrive
-    # late, when it is back; none may start there, and none is lost.
+def test_out_while_a_router_is_disconnected():
+    # A router is disconnected while the data centre goes out of service. Its
+    # attempts arrive late, when it is reconnected; none may start there and
+    # none may be lost.
     fleet = dispatch_model.Fleet()
     load_fleet(fleet, until=20.0, rate=130.0)
     fleet.clock.run(10.0)
@@ -117,9 +119,9 @@
     assert_all_served(fleet)
 
 
-def test_shutdown_of_an_agent_and_a_router():
-    # Both get a planned stop in the same second. The agent gives back what
-    # waits; the router takes nothing new and finishes all it holds.
+def test_shutdown_of_agent_and_router_loses_no_request():
+    # Both are stopped gracefully at the same time. The agent returns waiting
+    # attempts; the router accepts no new requests and finishes its own.
     fleet = dispatch_model.Fleet()
     load_fleet(fleet, until=20.0, rate=130.0)
     fleet.clock.run(10.0)
@@ -141,7 +143,8 @@
 
 
 def test_one_router_with_all_the_backlog_keeps_all_slots_busy():
-    # One of fifty routers holds everything. No slot may be free meanwhile.
+    # One of fifty routers has the whole backlog. Idle slots would show that
+    # its requests do not reach all agents.
     sizes = dispatch_model.Sizes(routers=50, agents=12, slots=8)
     fleet = dispatch_model.Fleet(sizes=sizes, cold_slots=8)
     rng = random.Random(1)
