--- a/packages/daisypick_lab/src/daisypick_lab/fairness_faults.py
+++ b/packages/daisypick_lab/src/daisypick_lab/fairness_faults.py
@@ -1,7 +1,7 @@
-"""Faults of the tally, planned on a fleet before it runs.
+"""Faults of the tally nodes, scheduled on a fleet before it runs.
 
-A plan is a function under ``@register``; it puts steps on the fleet's
-virtual clock.
+A plan is a function registered with ``@register`` that schedules its steps on
+the virtual clock of the fleet.
 """
 
 from collections.abc import Callable
@@ -34,7 +34,7 @@
 
 @register("collector and head die at once")
 def kill_collector_and_head(fleet: fairness_fleet.Fleet) -> None:
-    """Kill a collector and all heads at one moment."""
+    """Kill a collector and all heads at the same time."""
 
     def _kill() -> None:
         for address in _role_addresses(fleet):
@@ -45,7 +45,7 @@
 
 @register("head dies twice")
 def kill_head_twice(fleet: fairness_fleet.Fleet) -> None:
-    """Kill the head, and again when it has come back."""
+    """Kill the head, and again after it has restarted."""
 
     def _kill() -> None:
         fleet.restart(fleet.agents[0].node.heads[0], DOWN_SECONDS)
@@ -56,7 +56,7 @@
 
 @register("halves lose each other for 60 s")
 def split_halves(fleet: fairness_fleet.Fleet) -> None:
-    """Let each half of the agents of each data centre see itself only."""
+    """Partition the agents of each data centre into two halves."""
 
     def _side(agent: fairness_fleet.Agent) -> int:
         index = fleet.agents.index(agent)
@@ -75,7 +75,7 @@
 
 @register("two collectors and two heads for 60 s")
 def double_roles(fleet: fairness_fleet.Fleet) -> None:
-    """Let every other agent believe that the holders of roles are gone."""
+    """Make every other agent consider the collector and heads dead."""
 
     def _double() -> None:
         holders = _role_addresses(fleet)
@@ -92,7 +92,7 @@
 
 @register("every agent restarts, one in 2 s")
 def restart_all(fleet: fairness_fleet.Fleet) -> None:
-    """Restart the agents one after the other."""
+    """Restart the agents one after another."""
     for index in range(fleet.settings.agents):
         address = fleet.agents[index].address
 
@@ -104,7 +104,7 @@
 
 @register("half the agents join 60 s late")
 def join_late(fleet: fairness_fleet.Fleet) -> None:
-    """Let every other agent start late, with nothing in memory."""
+    """Start every other agent late and with no state."""
 
     def _stop() -> None:
         for agent in fleet.agents[::2]:
--- a/packages/daisypick_lab/src/daisypick_lab/fairness_fleet.py
+++ b/packages/daisypick_lab/src/daisypick_lab/fairness_fleet.py
@@ -1,9 +1,9 @@
 """Gates and tally nodes under a virtual clock, for the fairness measurement.
 
-The gates, orders and tally nodes are the real ones of the core. Around them
-stand small fakes: backend servers that generate tokens at a steady rate, a
-network with a delay, and routers that keep a number of attempts waiting at
-each agent they reach, as a dispatcher with an endless backlog does.
+Gates, share orders and tally nodes are the production code of the core. The
+rest is simulated: backend servers generate tokens at a constant rate, the
+network has a delay, and routers keep a number of attempts waiting at each
+agent that they reach, as a dispatcher with an unlimited backlog does.
 """
 
 import collections
@@ -32,7 +32,7 @@
 
 
 class Agent:
-    """One agent with its backend server."""
+    """An agent with its backend server."""
 
     def __init__(
         self,
@@ -83,9 +83,10 @@
     Attributes:
         now: Virtual time, seconds.
         agents: The agents; a restarted one replaces its predecessor.
-        finished_by_tenant: Tokens of requests that ended.
-        longest_pause_by_tenant: Seconds without a start, in the whole fleet.
-        messages: Reports carried between different agents.
+        finished_by_tenant: Tokens generated for requests that ended.
+        longest_pause_by_tenant: Longest time without a start in the whole
+            fleet, seconds.
+        messages: Reports sent between different agents.
     """
 
     def __init__(self, settings: fairness_settings.FleetSettings) -> None:
@@ -123,11 +124,11 @@
         self.now = end
 
     def at(self, moment: float, step: Callable[[], None]) -> None:
-        """Run a step at a moment of the virtual clock."""
+        """Schedule a step at a time of the virtual clock."""
         heapq.heappush(self._events, (moment, next(self._ids), step))
 
     def served_by_tenant(self) -> dict[str, float]:
-        """Return the tokens generated for each organisation so far."""
+        """Return the number of tokens generated for each organisation."""
         served = {
             tenant.name: float(self.finished_by_tenant[tenant.name])
             for tenant in self.settings.tenants
@@ -138,7 +139,7 @@
         return served
 
     def set_views(self, view: Callable[[Agent], list[Agent]]) -> None:
-        """Set which agents each agent believes to be alive."""
+        """Set which agents each agent considers alive."""
         for agent in self.agents:
             agent.node.set_agents(
                 tally_node.TallyAgent(
@@ -148,7 +149,7 @@
             )
 
     def restart(self, address: str, down_seconds: float) -> None:
-        """Kill an agent with all it runs; it comes back empty."""
+        """Kill an agent and its running attempts; restart it with no state."""
         index = self._index_by_address[address]
         agent = self.agents[index]
         agent.is_alive = False
@@ -182,7 +183,7 @@
         return index < tenant.reach * self.settings.agents
 
     def _offer_next(self, agent: Agent, router: int, moment: float) -> None:
-        """Offer an attempt of the organisation that a router puts next."""
+        """Offer an attempt of the organisation that a router serves next."""
         sent = self._sent_by_router[router]
         tenant = min(
             (
@@ -301,7 +302,7 @@
         self.at(self.now + self.settings.period / 4, lambda: self._tick(agent))
 
     def _carry(self, sender: Agent, send: tally_node.Send) -> None:
-        """Carry a report over the network, with its faults."""
+        """Send a report over the network, subject to its faults."""
         self.messages += 1
         faults = self.settings.faults
         if self._rng.random() < faults.lost:
--- a/packages/daisypick_lab/src/daisypick_lab/fairness_model.py
+++ b/packages/daisypick_lab/src/daisypick_lab/fairness_model.py
@@ -1,8 +1,8 @@
 """Measures the fairness gap: ``python -m daisypick_lab.fairness_model``.
 
 The gap is the largest difference, between any two backlogged organisations
-and over the whole run, of tokens served per unit of share. It is given in
-largest requests (``fairness_settings.LARGEST_COST`` tokens) per unit of share.
+and over the whole run, of tokens served per unit of share. Its unit is the
+largest request (``fairness_settings.LARGEST_COST`` tokens) per unit of share.
 """
 
 import argparse
@@ -28,19 +28,20 @@
 
 
 class Measurement(typing.NamedTuple):
-    """What one run showed; gaps in largest requests per unit of share.
+    """Results of one run; gaps in largest requests per unit of share.
 
     Attributes:
         name: Name of the run.
-        period: Seconds between reports, 0 without them.
+        period: Seconds between reports, 0 without reports.
         seconds: Length of the run.
-        start_gap: Largest gap in service counted from the start, when all
-            slots are free and the first to come takes them.
+        start_gap: Largest gap in service since the start, when all slots are
+            free and are filled in order of arrival.
         gap: Largest gap in any interval after ``WARM_UP_SECONDS``.
         half_gap: The same in the first half of that time.
-        longest_pause: Longest time without a start of any organisation with
-            share 1 that floods nobody, in the whole fleet, seconds.
-        messages: Reports a second and agent.
+        longest_pause: Longest time in which the whole fleet started no
+            request of some organisation with share 1, seconds; the
+            overloading organisation is not counted.
+        messages: Reports per second and agent.
     """
 
     name: str
@@ -56,11 +57,11 @@
 def make_tenants(
     *, flood_depth: int = 2
 ) -> tuple[fairness_settings.Tenant, ...]:
-    """Return eight backlogged organisations, spread unevenly.
+    """Return eight backlogged organisations, distributed unevenly.
 
-    ``t0`` may flood: ``flood_depth`` of its attempts wait at each agent.
-    ``t3`` and ``t4`` are behind one router each, ``t4`` reaches a quarter of
-    the agents and ``t5`` half of them.
+    ``t0`` may overload the agents: it keeps ``flood_depth`` attempts waiting
+    at each. ``t3`` and ``t4`` use one router each, ``t4`` reaches a quarter
+    of the agents and ``t5`` half of them.
     """
     tenants = [
         fairness_settings.Tenant(name=f"t{index}", share=share)
@@ -74,10 +75,10 @@
 
 
 class _IntervalGap:
-    """Largest gap of any two organisations in any interval.
+    """Largest gap between any two organisations in any interval.
 
-    The service difference of a pair moves within a band; the width of the
-    band is the largest gap that any interval can show.
+    The difference in service of a pair varies between a minimum and a maximum;
+    their distance is the largest gap in any interval.
     """
 
     def __init__(self) -> None:
@@ -105,14 +106,14 @@
     warm_up: float = WARM_UP_SECONDS,
     plan: Callable[[fairness_fleet.Fleet], None] | None = None,
 ) -> Measurement:
-    """Run one fleet and return what it showed.
+    """Run one fleet and return its measurement.
 
     Args:
         name: Name of the run.
-        settings: The fleet.
+        settings: Settings of the fleet.
         seconds: Length of the run.
         warm_up: Seconds before intervals are measured.
-        plan: Plans faults on the fleet before it runs.
+        plan: Schedules faults on the fleet before it runs.
     """
     fleet = fairness_fleet.Fleet(settings)
     if plan is not None:
@@ -157,14 +158,14 @@
 
 
 class Run(typing.NamedTuple):
-    """A run to do.
+    """Parameters of a run.
 
     Attributes:
-        name: Its name in the result.
-        settings: The fleet.
-        seconds: Its length.
+        name: Name of the run in the result.
+        settings: Settings of the fleet.
+        seconds: Length of the run.
         warm_up: Seconds before intervals are measured.
-        plan: Plans faults on the fleet before it runs.
+        plan: Schedules faults on the fleet before it runs.
     """
 
     name: str
@@ -175,7 +176,7 @@
 
 
 def _baselines(seconds: float, seed: int) -> Iterator[Run]:
-    """Yield every order with the same organisations and costs."""
+    """Yield runs of every order with the same organisations and costs."""
     for depth in (2, 64):
         tenants = make_tenants(flood_depth=depth)
         common = fairness_settings.FleetSettings(tenants=tenants, seed=seed)
@@ -204,7 +205,7 @@
 
 
 def _variations(seconds: float, seed: int) -> Iterator[Run]:
-    """Yield runs of the order in production that differ in one thing."""
+    """Yield runs of the production order that vary one parameter each."""
     tenants = make_tenants()
     common = fairness_settings.FleetSettings(
         tenants=tenants, period=2.0, seed=seed
@@ -215,7 +216,7 @@
     for depth in (16, 64, 256):
         flooded = common._replace(tenants=make_tenants(flood_depth=depth))
         yield Run(f"flooder keeps {depth}", flooded, seconds)
-        # At the start it fills all slots, and is held back for that.
+        # At the start it fills all slots and is then delayed to compensate.
         yield Run(
             f"flooder keeps {depth}, first lead paid back",
             flooded,
@@ -246,7 +247,7 @@
 
 
 def _fault_runs(seconds: float, seed: int) -> Iterator[Run]:
-    """Yield runs with one fault each."""
+    """Yield runs with faults of the network or of agents."""
     common = fairness_settings.FleetSettings(
         tenants=make_tenants(), period=2.0, seed=seed
     )
@@ -257,7 +258,7 @@
         ("half late and crossed", fairness_settings.Faults(late=0.5)),
         ("all of these", fairness_settings.Faults(0.2, 0.5, 0.5)),
     ):
-        # Errors that add up show in a long run only.
+        # Cumulative errors show only in a long run.
         yield Run(f"{name}, x4", common._replace(faults=faults), 4 * seconds)
     for name, plan in fairness_faults.plan_by_name.items():
         yield Run(name, common, seconds, plan=plan)
@@ -273,7 +274,7 @@
 def run_groups(
     groups: Iterable[str], *, seconds: float, seed: int
 ) -> list[Measurement]:
-    """Measure groups of runs and return the measurements in order."""
+    """Run groups of runs and return their measurements in order."""
     return [
         measure(
             run.name,
@@ -288,7 +289,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run from the command line."""
+    """Run the measurement from the command line."""
     parser = argparse.ArgumentParser(description="Measure the fairness gap.")
     parser.add_argument("--json", action="store_true", help="print JSON")
     parser.add_argument("--seconds", type=float, default=240.0)
--- a/packages/daisypick_lab/src/daisypick_lab/fairness_settings.py
+++ b/packages/daisypick_lab/src/daisypick_lab/fairness_settings.py
@@ -1,4 +1,4 @@
-"""What a run of the fairness measurement consists of."""
+"""Settings of a run of the fairness measurement."""
 
 import typing
 
@@ -6,10 +6,10 @@
 
 SERVICE = "desk"
 ONE_QUEUE = "everyone"
-# How gates and routers order what waits.
-BY_ORDER = "by_order"  # The gate's share order.
-FIRST_COME = "first_come"  # The gate in the order of arrival.
-ROUTER_FAIR = "router_fair"  # That, behind routers that are fair each.
+# Modes: how gates and routers order waiting attempts.
+BY_ORDER = "by_order"  # Gates use their share order.
+FIRST_COME = "first_come"  # Gates use the order of arrival.
+ROUTER_FAIR = "router_fair"  # The same, but each router is fair by itself.
 ROUTERS = 6
 ROUTER_WINDOW = 4
 NETWORK_DELAY = 0.003
@@ -24,14 +24,14 @@
     """An organisation of the measurement.
 
     Attributes:
-        name: Its name.
-        share: Its share.
-        reach: Part of the agents that it reaches, above 0 up to 1.
+        name: Name of the organisation.
+        share: Its share of capacity.
+        reach: Fraction of the agents that it reaches, above 0 up to 1.
         depth: Attempts that it keeps waiting at each of them.
-        routers: Routers that it calls; only ``ROUTER_FAIR`` tells them
-            apart.
-        off_from: When it stops sending, seconds.
-        off_until: When it sends again.
+        routers: Routers that it calls; only ``ROUTER_FAIR`` distinguishes
+            them.
+        off_from: Time at which it stops sending, seconds.
+        off_until: Time at which it resumes sending, seconds.
     """
 
     name: str
@@ -44,12 +44,12 @@
 
 
 class Faults(typing.NamedTuple):
-    """What the network does to reports, as probabilities.
+    """Probabilities of network faults that affect reports.
 
     Attributes:
-        lost: The report or its answer is lost.
+        lost: The report or its response is lost; drawn for each.
         doubled: The report arrives twice.
-        late: The report arrives up to 3 periods late, crossing others.
+        late: The report arrives up to 3 periods late and out of order.
     """
 
     lost: float = 0.0
@@ -58,22 +58,22 @@
 
 
 class FleetSettings(typing.NamedTuple):
-    """One run.
+    """Settings of one run.
 
     Attributes:
         tenants: The organisations.
-        agents: Agents, in equal parts in the data centres.
-        data_centres: Data centres.
-        slots: Slots of a backend server.
-        speeds: Tokens a second and slot, repeated over the agents.
+        agents: Number of agents, distributed evenly over the data centres.
+        data_centres: Number of data centres.
+        slots: Slots per backend server.
+        speeds: Tokens per second and slot, assigned to the agents in turn.
         policy: Order policy of the gates.
-        gain: Its gain.
+        gain: Gain of the policy.
         has_tally: Whether agents exchange reports.
         mode: ``BY_ORDER``, ``FIRST_COME`` or ``ROUTER_FAIR``.
         estimator: Name of the cost estimator.
         period: Seconds between reports.
-        faults: What the network does.
-        seed: Seed of all randomness.
+        faults: Faults of the network.
+        seed: Seed of the random numbers.
     """
 
     tenants: tuple[Tenant, ...]
--- a/packages/daisypick_lab/tests/test_fairness_model.py
+++ b/packages/daisypick_lab/tests/test_fairness_model.py
@@ -8,7 +8,8 @@
 SLOTS = 3
 SECONDS = 60.0
 # Largest requests per unit of share. docs/design/fairness.md derives a bound
-# of 5 for each slot, 360 here, for the worst costs; these are not the worst.
+# of 5 per slot, 360 here, for worst-case costs; the costs here are not that
+# bad, so a tighter bound is checked.
 BOUND = 3.0
 TOKENS_PER_SECOND = 50.0
 
@@ -31,8 +32,8 @@
     assert long_run.gap < short.gap + 2.0
 
 
-def test_baselines_are_worse():
-    # The same organisations and costs; what differs is the order alone.
+def test_baselines_have_larger_gaps():
+    # The organisations and costs are the same; only the order differs.
     alone = make_settings(has_tally=False)
     seconds = 3 * SECONDS
     ours = measure(make_settings(), seconds).gap
@@ -47,11 +48,11 @@
         assert other.gap > 1.5 * other.half_gap
 
 
-def test_gap_does_not_grow_with_the_flooder_and_nobody_starves():
-    # One organisation keeps ever more attempts waiting at every agent. The
-    # others must see no more of it than that it is backlogged. One that is
-    # ahead may wait until the rest have caught up and for one large request,
-    # however many the flooder keeps waiting.
+def test_overload_by_one_organisation_starves_nobody():
+    # One organisation keeps 16, 64 or 256 attempts waiting at every agent. The
+    # effect on others must not depend on that number. An organisation that is
+    # ahead may wait until the others have caught up and for one large
+    # request, however many attempts wait.
     floods = [
         measure(make_settings(flood_depth=depth)) for depth in (16, 64, 256)
     ]
@@ -65,9 +66,9 @@
     assert floods[2].longest_pause < 1.5 * floods[0].longest_pause
 
 
-def test_return_from_idle_is_no_windfall():
-    # An organisation with a large share is idle for 30 s. On its return it
-    # must not take the fleet to make up for the time.
+def test_idle_time_gives_no_credit():
+    # An organisation with a large share is idle for 30 s. When it resumes, it
+    # must not monopolise the fleet to compensate for the idle time.
     settings = make_settings()
     tenants = list(settings.tenants)
     tenants[6] = tenants[6]._replace(off_from=20.0, off_until=50.0)
@@ -84,13 +85,13 @@
         fairness_settings.Faults(lost=0.1, doubled=0.5, late=0.5),
     ],
 )
-def test_bound_holds_with_bad_messages(faults):
+def test_bound_holds_with_network_faults(faults):
     assert measure(make_settings(faults=faults)).gap < BOUND
 
 
 @pytest.mark.parametrize("name", sorted(fairness_faults.plan_by_name))
-def test_bound_holds_with_faults_of_agents(name):
-    # The fault comes after 60 s, while all are backlogged. What is measured
-    # is any interval from 30 s on, so before, during and after it.
+def test_bound_holds_with_agent_faults(name):
+    # Faults occur after 60 s while all organisations are backlogged. Intervals
+    # are measured from 30 s on, so before, during and after the faults.
     plan = fairness_faults.plan_by_name[name]
     assert measure(make_settings(), 130.0, plan=plan).gap < BOUND
