--- a/packages/daisypick_lab/src/daisypick_lab/callers.py
+++ b/packages/daisypick_lab/src/daisypick_lab/callers.py
@@ -1,8 +1,8 @@
-"""One call of a caller over a real socket, and whether its answer is right.
+"""Client calls over real sockets, with verification of the responses.
 
-Answers of the stand-ins are functions of the request and carry a checksum,
-so a caller can tell an answer that is whole and its own from one that is
-cut, crossed or somebody else's.
+Responses of the stand-ins are functions of the request and carry a checksum,
+so a caller can distinguish a complete response to its own request from one
+that is truncated or belongs to another request.
 """
 
 from collections.abc import Callable
@@ -31,10 +31,10 @@
     Attributes:
         service: Name of the service.
         marker: Name of this call, unique in a run.
-        prompt: Without the marker, which is added at its end.
-        tokens: Length of the answer.
-        max_tokens: The hint about it, off by some factor.
-        is_stream: Whether the answer is streamed.
+        prompt: Prompt without the marker, which is appended to it.
+        tokens: Length of the response.
+        max_tokens: Length hint, which overestimates ``tokens``.
+        is_stream: Whether the response is streamed.
     """
 
     service: str
@@ -45,7 +45,7 @@
     is_stream: bool
 
     def body(self) -> bytes:
-        """Return the body of the request."""
+        """Return the encoded request body."""
         directive = f"[marker={self.marker} tokens={self.tokens}]"
         content = f"{self.prompt} {directive}"
         fields: dict[str, typing.Any] = {
@@ -60,7 +60,7 @@
 
 
 class PlainCall(typing.NamedTuple):
-    """A call of a plain service that may not be repeated."""
+    """A call of a plain service that is not repeatable."""
 
     service: str
     marker: str
@@ -69,17 +69,17 @@
 
 
 class Answered(typing.NamedTuple):
-    """What came of a call.
+    """The result of a call.
 
     Attributes:
         outcome: One of the constants of this module.
-        reason: What was wrong, ``""`` if nothing.
+        reason: Description of the error, ``""`` if there is none.
         code: Number of the result code of a refusal, else 0.
-        ran: ``RAN_NO`` or ``RAN_UNKNOWN`` of a refusal.
-        retry_after: Seconds that a refusal asks for.
+        ran: ``RAN_NO`` or ``RAN_UNKNOWN`` for a refusal.
+        retry_after: Retry delay of a refusal, seconds.
         first_token_seconds: Time to the first token of a stream.
-        prompt_tokens: As ``usage`` has it.
-        completion_tokens: As ``usage`` has it.
+        prompt_tokens: Value reported in ``usage``.
+        completion_tokens: Value reported in ``usage``.
     """
 
     outcome: str
@@ -148,7 +148,7 @@
     def chat(
         self, router: str, call: ChatCall, note_tokens: NoteTokens
     ) -> Answered:
-        """Call a model service; report tokens as they come."""
+        """Call a model service; report the tokens as they arrive."""
         started_at = self._clock()
         try:
             response = self._pool.request(
@@ -188,7 +188,7 @@
 
 
 class _StreamReader:
-    """Reads the events of one stream."""
+    """Parses the events of one stream."""
 
     def __init__(
         self, call: ChatCall, started_at: float, clock: Callable[[], float]
@@ -204,7 +204,7 @@
         self._error = ""
 
     def feed(self, data: bytes) -> int:
-        """Take bytes in; return how many tokens they held."""
+        """Parse received bytes; return the number of tokens in them."""
         *events, self._rest = (self._rest + data).split(b"\n\n")
         count = 0
         for event in events:
@@ -230,7 +230,7 @@
         return count
 
     def finish(self) -> Answered:
-        """Return the verdict on the whole stream."""
+        """Return the result of the whole stream."""
         if self._error or not self._is_done:
             return Answered(BROKEN, self._error or "no end mark")
         wrong = text.check("".join(self._parts), self._call.marker)
--- a/packages/daisypick_lab/src/daisypick_lab/embedded.py
+++ b/packages/daisypick_lab/src/daisypick_lab/embedded.py
@@ -1,7 +1,7 @@
-"""An embedded fleet: all of it in one process, on loopback.
+"""An embedded fleet: all components in one process, on the loopback.
 
-The processes are the ones that ``daisypickd`` runs, over real sockets; the
-platform, the engines and the plain service are the stand-ins.
+Agents and routers are the ones that ``daisypickd`` runs and use real sockets;
+the platform, the engines and the plain services are stand-ins.
 """
 
 from collections.abc import Callable
@@ -38,20 +38,20 @@
 
 
 class FleetError(Exception):
-    """The fleet did not come up, or a change did not come into force."""
+    """The fleet did not start, or a change did not take effect."""
 
 
 class EmbeddedFleet:
     """A whole fleet in this process.
 
     Attributes:
-        shape: What it consists of.
-        engines: The engines by name of their backend server.
-        plain_services: The plain services by name of their backend server.
-        agents: The agents by name of their backend server.
+        shape: Sizes and load of the fleet.
+        engines: Engines by name of their backend server.
+        plain_services: Plain services by name of their backend server.
+        agents: Agents by name of their backend server.
         routers: The routers.
         data_centre_by_server: Data centre of each backend server.
-        out: Data centres that are out.
+        out: Data centres that are out of service.
     """
 
     def __init__(self, *, shape: shapes.Shape, seed: int) -> None:
@@ -71,7 +71,7 @@
         self._publisher: publication.Publisher | None = None
 
     def start(self) -> None:
-        """Start everything and put the configuration in force."""
+        """Start all components and publish the configuration."""
         self.platform.start()
         self._publisher = publication.Publisher(
             client=self._make_client(),
@@ -99,7 +99,7 @@
         self.apply()
 
     def stop(self) -> None:
-        """Stop everything."""
+        """Stop all components."""
         for process in self.processes:
             process.stop()
         for stand_in in [
@@ -113,16 +113,20 @@
 
     @property
     def processes(self) -> list[process_module.Process]:
-        """Agents and routers."""
+        """The processes of all agents and routers."""
         return [*self.agents.values(), *self.routers]
 
     @property
     def router_addresses(self) -> list[str]:
-        """Where callers reach the fleet."""
+        """Addresses to which callers connect."""
         return [router.address for router in self.routers]
 
     def set_data_centre(self, name: str, *, is_in: bool) -> float:
-        """Take a data centre out or in; return seconds until in force."""
+        """Take a data centre out of or into service.
+
+        Returns:
+            Seconds until the change is in force.
+        """
         self._changes += 1
         self._files.append(
             folder_files.data_centre_file(self._changes, name, is_in=is_in)
@@ -135,7 +139,7 @@
         return seconds
 
     def restart_agent(self, name: str) -> None:
-        """Stop an agent at once and start its successor in its place."""
+        """Stop an agent immediately and start a new one at its address."""
         self.agents[name].stop()
         self._start_agent(self._server_by_name[name])
         generation = max(p.generation for p in self.processes)
@@ -145,10 +149,11 @@
         )
 
     def apply(self) -> float:
-        """Put the folder in force; return the seconds until it is.
+        """Publish the folder; return the seconds until it is in force.
 
         Raises:
-            FleetError: The folder has faults or does not come into force.
+            FleetError: The folder is invalid, or its configuration can't be
+                published or is not in force in time.
         """
         assert self._publisher is not None
         checked = check.check(merge.merge(self._files))
@@ -169,7 +174,7 @@
         return time.monotonic() - accepted_at
 
     def runs_by_marker(self) -> dict[str, int]:
-        """Return how often each call ran, over all backend servers."""
+        """Return the number of runs of each call on all backend servers."""
         total: dict[str, int] = {}
         for runs in [
             *(e.batch.runs_by_marker for e in self.engines.values()),
@@ -180,7 +185,7 @@
         return total
 
     def runs_in(self, data_centre: str) -> int:
-        """Return how many calls the servers of a data centre have begun."""
+        """Return the number of runs that a data centre's servers began."""
         total = 0
         for name, where in self.data_centre_by_server.items():
             if where != data_centre:
@@ -192,19 +197,19 @@
         return total
 
     def falls(self) -> int:
-        """Return how often a cold engine got more than it bears."""
+        """Return how often a cold engine was overloaded."""
         return sum(
             engine.batch.overload_count for engine in self.engines.values()
         )
 
     def restart_engines(self, data_centre: str) -> None:
-        """Start the engines of a data centre anew, with new boot ids."""
+        """Restart the engines of a data centre, with new boot ids."""
         for name, engine in self.engines.items():
             if self.data_centre_by_server[name] == data_centre:
                 engine.batch.cold_start.restart(time.monotonic())
 
     def control_bytes(self) -> int:
-        """Return the bytes of control among processes and to the platform."""
+        """Return the bytes of control traffic, with calls of the platform."""
         peers = sum(p.peers.traffic.bytes for p in self.processes)
         return peers + sum(c.counters.total_bytes for c in self._clients)
 
@@ -307,7 +312,7 @@
 
 
 def free_address() -> str:
-    """Return an address on loopback that nobody listens on now."""
+    """Return a loopback address with a port that is free now."""
     probe = socket.socket()
     probe.bind(("127.0.0.1", 0))
     _, port = probe.getsockname()
@@ -316,13 +321,13 @@
 
 
 def listen_on_free_address(start: Callable[[str], None]) -> str:
-    """Start something on a free address and return the address.
+    """Call ``start`` with a free address and return the address.
 
-    Between the search and the start another program may take the port, as
-    happens on a machine with much traffic; then another one is tried.
+    Another program may bind the port between the search and the start, which
+    happens on machines with much traffic; then another port is tried.
 
     Raises:
-        FleetError: All tries met a taken port.
+        FleetError: The port was in use at every try.
     """
     for _ in range(_PORT_TRIES):
         address = free_address()
@@ -337,13 +342,13 @@
 
 
 def wait_until(condition: Callable[[], bool], what: str) -> None:
-    """Wait for a condition.
+    """Wait until a condition holds.
 
     Raises:
-        FleetError: It did not come true in time.
+        FleetError: The condition did not hold in time.
     """
     deadline = time.monotonic() + _PATIENCE_SECONDS
     while not condition():
         if time.monotonic() > deadline:
-            raise FleetError(f"gave up waiting for: {what}")
+            raise FleetError(f"timed out waiting for: {what}")
         gevent.sleep(_POLL_SECONDS)
--- a/packages/daisypick_lab/src/daisypick_lab/fit.py
+++ b/packages/daisypick_lab/src/daisypick_lab/fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points.
+"""Least-squares lines through measured points.
 
 Examples:
     >>> line = fit([1.0, 2.0, 3.0, 4.0], [3.0, 5.0, 7.0, 9.0])
@@ -18,10 +18,10 @@
     """A least-squares line.
 
     Attributes:
-        slope: Change of y for each unit of x.
+        slope: Change of y per unit of x.
         intercept: y at x = 0.
-        residual: Root of the mean squared distance of the points in y.
-        points: The points themselves.
+        residual: Root mean square of the residuals in y.
+        points: The points of the fit.
     """
 
     slope: float
@@ -35,10 +35,11 @@
 
 
 def fit(xs: Sequence[float], ys: Sequence[float]) -> Line:
-    """Return the line through at least four points.
+    """Fit a line to at least four points.
 
     Raises:
-        ValueError: There are fewer points, or not as many ``ys`` as ``xs``.
+        ValueError: There are fewer points, or ``xs`` and ``ys`` differ in
+            length.
     """
     if len(xs) < MIN_POINTS or len(xs) != len(ys):
         raise ValueError(f"xs: {len(xs)} points, ys: {len(ys)} points")
--- a/packages/daisypick_lab/src/daisypick_lab/folder.py
+++ b/packages/daisypick_lab/src/daisypick_lab/folder.py
@@ -1,6 +1,6 @@
-"""The operators' folder of an embedded fleet, kept in memory.
+"""The configuration folder of an embedded fleet, kept in memory.
 
-The files have the same text as on disk: a change is a new file at the end.
+The files have the same text as on disk. A change is appended as a new file.
 
 Examples:
     >>> from daisypick_lab import shapes
@@ -19,7 +19,7 @@
 
 
 class BackendServer(typing.NamedTuple):
-    """A backend server of the fleet, as its file needs it."""
+    """A backend server as described in the folder."""
 
     name: str
     service: str
@@ -31,7 +31,7 @@
 
 
 def organisation_files(shape: shapes.Shape) -> list[merge.SourceFile]:
-    """Return the files that do not depend on addresses."""
+    """Return the files that don't depend on addresses."""
     organisations = "\n".join(_organisation(p) for p in shape.profiles)
     services = (
         f"[services.{shape.model_service}]\n"
@@ -71,7 +71,7 @@
 def data_centre_file(
     number: int, name: str, *, is_in: bool
 ) -> merge.SourceFile:
-    """Return the file of a change that takes a data centre out or in."""
+    """Return the file that takes a data centre out of or into service."""
     word = "in" if is_in else "out"
     text = f"[data_centres.{name}]\nis_in = {str(is_in).lower()}\n"
     return merge.SourceFile(f"zz-{number:06}-{name}-{word}.toml", text)
--- a/packages/daisypick_lab/src/daisypick_lab/load.py
+++ b/packages/daisypick_lab/src/daisypick_lab/load.py
@@ -1,10 +1,10 @@
-"""Load over real sockets: organisations with their ways of calling.
+"""Load generation over real sockets with a call profile per organisation.
 
 Each organisation keeps a number of workers busy (a closed loop) or sends at
-a rate. Prompts of an organisation share a long prefix, lengths of answers are
-heavy-tailed, and the hint about a length is off by up to eight times. Plain
-calls carry an idempotency key; some are sent through two routers at once, and
-those that fail are sent again through the next router.
+a rate. Prompts of an organisation share a long prefix, lengths of responses
+are heavy-tailed, and the hint about a length is up to eight times too high.
+Plain calls carry an idempotency key; some are sent through two routers
+concurrently, and failed ones are retried through the next router.
 """
 
 from collections.abc import Sequence
@@ -27,12 +27,12 @@
 _BACKOFF_SECONDS = 0.25
 _LONGEST_BACKOFF = 2.0
 _PLAIN_ATTEMPTS = 4
-# Beyond the time within which a router must start a request or refuse it.
+# Longer than the time within which a router must start or refuse a request.
 _CALL_TIMEOUT = 75.0
 
 
 class Profile(typing.NamedTuple):
-    """How an organisation calls.
+    """Call profile of an organisation.
 
     Attributes:
         name: Name of the organisation.
@@ -40,15 +40,16 @@
         share: Its share of capacity.
         model_service: Service of its chat calls.
         plain_service: Service of its plain calls, ``""`` for none.
-        workers: Calls that it keeps open; with a rate, the most at once.
-        rate: Calls a second; 0 for a closed loop.
-        pause: Seconds between two calls of a worker, on average.
-        shortest: Tokens of its shortest answers.
+        workers: Number of open calls; with a rate, their maximum.
+        rate: Calls per second; 0 for a closed loop.
+        pause: Mean time between two calls of a worker, seconds.
+        shortest: Minimum number of tokens of a response.
         prefix_characters: Length of the prefix that its prompts share.
-        stream_share: Part of its chat calls that are streamed.
-        plain_share: Part of its calls that are plain.
-        twice_share: Part of its plain calls sent through two routers at once.
-        routers: Numbers of the routers that it calls, empty for all.
+        stream_share: Fraction of its chat calls that are streamed.
+        plain_share: Fraction of its calls that are plain.
+        twice_share: Fraction of its plain calls sent through two routers
+            concurrently.
+        routers: Indexes of the routers that it calls, empty for all.
     """
 
     name: str
@@ -68,15 +69,16 @@
 
     @property
     def longest(self) -> int:
-        """Tokens of its longest answers."""
+        """Maximum number of tokens of a response."""
         return self.shortest * _LONGEST_FACTOR
 
 
 class LoadGenerator:
-    """Sends the calls of all organisations and tallies the answers.
+    """Sends the calls of all organisations and counts the results.
 
     Attributes:
-        tally: What was measured so far.
+        profiles: Call profiles of the organisations.
+        tally: Results and measurements so far.
     """
 
     def __init__(
@@ -96,7 +98,7 @@
         self._workers: list[gevent.Greenlet] = []
 
     def start(self) -> None:
-        """Begin to call."""
+        """Start the workers of all organisations."""
         for profile in self.profiles:
             self.tally.of(profile.name)
             for number in range(profile.workers):
@@ -104,37 +106,37 @@
                 self._workers.append(gevent.spawn(worker.run))
 
     def stop(self, timeout: float) -> bool:
-        """Begin no new call; tell whether all calls ended in time."""
+        """Start no new calls; return whether all calls ended in time."""
         self._stopped.set()
         gevent.joinall(self._workers, timeout=timeout)
         is_done = all(worker.ready() for worker in self._workers)
         gevent.killall(self._workers)
         for worker in self._workers:
-            worker.get()  # Raises what the worker died of.
+            worker.get()  # Re-raises an exception of the worker.
         self._pool.close()
         return is_done
 
     @property
     def is_stopped(self) -> bool:
-        """Whether no new call may begin."""
+        """Whether no new calls may start."""
         return self._stopped.is_set()
 
     def pause(self, seconds: float) -> None:
-        """Wait, but not beyond the stop."""
+        """Wait for some seconds, or until the generator stops."""
         self._stopped.wait(seconds)
 
     def caller(self, profile: Profile) -> callers.Caller:
-        """Return a caller with the organisation's key."""
+        """Return a caller that uses the key of the organisation."""
         return callers.Caller(key=profile.key, pool=self._pool)
 
     def routers_of(self, profile: Profile) -> tuple[str, ...]:
-        """Return the addresses of the routers that it calls."""
+        """Return the addresses of the routers that a profile calls."""
         numbers = profile.routers or range(len(self._routers))
         return tuple(self._routers[number] for number in numbers)
 
 
 class _Worker:
-    """One greenlet that makes call after call for an organisation."""
+    """Makes calls of an organisation, one at a time, in a greenlet."""
 
     def __init__(
         self,
@@ -155,7 +157,7 @@
         self._prefix = make_prefix(profile)
 
     def run(self) -> None:
-        """Call until the load stops."""
+        """Make calls until the load generator stops."""
         self._load.pause(self._rng.random() * _BACKOFF_SECONDS)
         while not self._load.is_stopped:
             if self._rng.random() < self._profile.plain_share:
@@ -186,7 +188,7 @@
         self._back_off(answered, 0)
 
     def _call_plain(self) -> None:
-        """Send a call under one key until it has an answer."""
+        """Send a call, retrying under the same idempotency key."""
         marker = f"{tally_module.PLAIN_PREFIX}{next(self._names)}"
         call = callers.PlainCall(
             service=self._profile.plain_service,
@@ -218,7 +220,11 @@
         return [greenlet.get() for greenlet in sent]
 
     def _count(self, marker: str, answered: list[callers.Answered]) -> None:
-        """Count a call by its best answer and note what it was told."""
+        """Count a call by its decisive result; record a reported "not run".
+
+        A wrong response takes precedence over a whole one, a whole one over
+        the last failure.
+        """
         whole = [a for a in answered if a.outcome == callers.WHOLE]
         wrong = [a for a in answered if a.outcome == callers.WRONG]
         final = (wrong or whole or answered[-1:])[0]
@@ -253,7 +259,7 @@
 
 
 class _TokenMeter:
-    """Books the tokens of one answer while it comes."""
+    """Counts the tokens of one response while it arrives."""
 
     def __init__(self, own: tally_module.OrganisationTally) -> None:
         self._own = own
@@ -262,7 +268,7 @@
         self._is_waiting = True
 
     def note(self, count: int) -> None:
-        """Book tokens of a stream."""
+        """Count tokens of a stream and record the gap between them."""
         if not count:
             return
         now = time.monotonic()
@@ -274,7 +280,7 @@
         self._own.tokens += count
 
     def finish(self, answered: callers.Answered) -> None:
-        """Book what the usage says beyond the tokens of the stream."""
+        """Count the tokens in ``usage`` that the stream did not show."""
         self._leave_queue()
         total = answered.prompt_tokens + answered.completion_tokens
         if total:
@@ -287,7 +293,7 @@
 
 
 def make_prefix(profile: Profile) -> str:
-    """Return the prefix that all prompts of an organisation share."""
+    """Return the prompt prefix that all calls of a profile share."""
     rng = random.Random(profile.name)
     words = [profile.name]
     size = len(profile.name)
--- a/packages/daisypick_lab/src/daisypick_lab/memory_store.py
+++ b/packages/daisypick_lab/src/daisypick_lab/memory_store.py
@@ -1,7 +1,8 @@
-"""An object store in memory, for models and tests of the claims.
+"""An in-memory object store for models and tests of the claims.
 
-It keeps the platform's promises (versions, conditional updates) and shows
-its faults on command: outages, and answers lost after a write took effect.
+It has the semantics of the platform's store (versions, conditional updates)
+and injects its faults: outages, lost calls, and responses that are lost after
+a write took effect.
 
 Examples:
     >>> store = MemoryStore()
@@ -22,15 +23,16 @@
 
 
 class MemoryStore:
-    """Objects with versions.
+    """Objects with versions, and faults that can be injected.
 
     Attributes:
-        is_down: Whether every call fails, surely without effect.
-        loses_answers: Whether answers are lost; writes take effect.
-        loses_calls: Whether calls are lost; to the caller it looks the same.
-        reads: Reads so far.
-        writes: Writes so far, with those that failed.
-        bytes_written: Bytes of all writes.
+        is_down: Whether every call fails and is known to have no effect.
+        loses_answers: Whether responses are lost; writes take effect.
+        loses_calls: Whether calls are lost; callers can't distinguish this
+            from a lost response.
+        reads: Number of reads.
+        writes: Number of writes, including failed ones.
+        bytes_written: Total size of the writes that took effect.
     """
 
     def __init__(self) -> None:
@@ -45,11 +47,11 @@
 
     @property
     def names(self) -> list[str]:
-        """Names of the objects, sorted."""
+        """Sorted names of the objects."""
         return sorted(self._object_by_name)
 
     def carry_out(self, call: actions.StoreCall) -> Result:
-        """Carry out a call of a batcher and return its result."""
+        """Execute a call of a batcher and return its result."""
         if isinstance(call, actions.Read):
             self.reads += 1
         else:
--- a/packages/daisypick_lab/src/daisypick_lab/trouble.py
+++ b/packages/daisypick_lab/src/daisypick_lab/trouble.py
@@ -1,8 +1,8 @@
-"""What goes wrong in an embedded fleet while it serves, on command.
+"""Fault scenarios for an embedded fleet under load.
 
-Each trouble is a function of the fleet that brings about failures and waits
-in between; it is registered by its name. ``endure`` runs one of them under
-load and returns the verdict on all answers.
+Each scenario is a function that injects faults into the fleet, with pauses in
+between, and is registered by its name. ``endure`` runs one of them under load
+and returns the verdict on all responses.
 
 Examples:
     >>> "platform_outage" in by_name
@@ -32,11 +32,11 @@
 
 
 class Endured(typing.NamedTuple):
-    """What came of a trouble.
+    """Result of a fault scenario.
 
     Attributes:
-        tally: All answers.
-        verdict: What must not happen.
+        tally: Results of all calls.
+        verdict: Violations found in them.
         is_done: Whether every call ended in time.
     """
 
@@ -46,7 +46,7 @@
 
 
 def register(name: str) -> Callable[[Trouble], Trouble]:
-    """Register a trouble under a name."""
+    """Return a decorator that registers a scenario under a name."""
 
     def _add(trouble: Trouble) -> Trouble:
         by_name[name] = trouble
@@ -56,10 +56,10 @@
 
 
 def endure(name: str, *, shape: shapes.Shape, seed: int) -> Endured:
-    """Run a trouble under load.
+    """Run a fault scenario under load.
 
     Args:
-        name: A registered trouble.
+        name: Name of a registered scenario.
         shape: The fleet and its load.
         seed: Seed of both.
     """
@@ -84,7 +84,7 @@
 
 @register("platform_outage")
 def _platform_outage(fleet: embedded.EmbeddedFleet) -> None:
-    """Answer 503, then nothing, then as before."""
+    """Respond with 503, then not at all, with recovery after each."""
     for outage in (platform_faults.UNAVAILABLE, platform_faults.SILENT):
         fleet.platform.set_faults(platform_faults.Faults(outage=outage))
         gevent.sleep(3 * _PAUSE)
@@ -94,7 +94,7 @@
 
 @register("platform_answers_lost")
 def _platform_answers_lost(fleet: embedded.EmbeddedFleet) -> None:
-    """Lose answers of writes that took effect, in each way."""
+    """Lose responses to writes that took effect, in each possible way."""
     for fault in ("lose_answers", "server_errors", "abort_writes"):
         fleet.platform.set_faults(platform_faults.Faults(**{fault: 3}))
         gevent.sleep(2 * _PAUSE)
@@ -103,7 +103,7 @@
 
 @register("engine_breaks_answers")
 def _engine_breaks_answers(fleet: embedded.EmbeddedFleet) -> None:
-    """Fail a request at one engine, and break off an answer in the middle."""
+    """Fail a request at one engine and truncate a response of it."""
     engine = next(iter(fleet.engines.values()))
     for _ in range(_ROUNDS):
         engine.set_faults(engine_faults.Faults(break_off=1, fail=1))
@@ -112,7 +112,7 @@
 
 @register("engines_turn_cold")
 def _engines_turn_cold(fleet: embedded.EmbeddedFleet) -> None:
-    """Turn cold without another boot id, one after the other."""
+    """Turn engines cold one after another, with unchanged boot ids."""
     for engine in fleet.engines.values():
         engine.set_faults(engine_faults.Faults(turn_cold=True))
         gevent.sleep(_PAUSE)
@@ -120,7 +120,7 @@
 
 @register("engine_crashes")
 def _engine_crashes(fleet: embedded.EmbeddedFleet) -> None:
-    """Fail all that runs at one engine and start anew."""
+    """Crash engines: all running requests fail and the engine restarts."""
     for engine in list(fleet.engines.values())[:2]:
         engine.set_faults(engine_faults.Faults(crash=True))
         gevent.sleep(3 * _PAUSE)
@@ -128,7 +128,7 @@
 
 @register("plain_service_loses_answers")
 def _plain_service_loses_answers(fleet: embedded.EmbeddedFleet) -> None:
-    """Run calls, then say nothing whole about them."""
+    """Lose, truncate, fail and refuse calls at the plain services."""
     for fault in ("lose", "half", "fail", "refuse"):
         for service in fleet.plain_services.values():
             service.set_faults(plain_faults.Faults(**{fault: 2}))
@@ -137,7 +137,7 @@
 
 @register("data_centres_out_and_in")
 def _data_centres_out_and_in(fleet: embedded.EmbeddedFleet) -> None:
-    """Take each data centre out and in, one right after the other."""
+    """Take the data centres out of service and in again, one by one."""
     for name in fleet.shape.data_centres:
         fleet.set_data_centre(name, is_in=False)
         gevent.sleep(_PAUSE)
@@ -146,9 +146,9 @@
 
 @register("agents_restart")
 def _agents_restart(fleet: embedded.EmbeddedFleet) -> None:
-    """Stop an engine's and a plain service's agent without notice.
+    """Stop an engine's and a plain service's agent without draining.
 
-    Others take their places at once, under the same addresses.
+    New agents start immediately at the same addresses.
     """
     for names in (fleet.engines, fleet.plain_services):
         fleet.restart_agent(next(iter(names)))
@@ -157,7 +157,7 @@
 
 @register("agents_drain")
 def _agents_drain(fleet: embedded.EmbeddedFleet) -> None:
-    """Shut agents down in order, as SIGTERM does, and start them again."""
+    """Shut agents down gracefully, as SIGTERM does; restart them."""
     for name in list(fleet.agents):
         fleet.agents[name].drain()
         fleet.restart_agent(name)
@@ -165,5 +165,5 @@
 
 @register("routers_drain")
 def _routers_drain(fleet: embedded.EmbeddedFleet) -> None:
-    """Shut one router down in order, as SIGTERM does."""
+    """Shut one router down gracefully, as SIGTERM does."""
     fleet.routers[0].drain()
--- a/packages/daisypick_lab/tests/processes/process_fleet.py
+++ b/packages/daisypick_lab/tests/processes/process_fleet.py
@@ -1,7 +1,7 @@
-"""Routers and agents as processes of their own, to be killed and frozen.
+"""Routers and agents in separate processes, to be killed and suspended.
 
-Platform and plain services stay in the test's process, where the test sees
-what ran.
+Platform and plain services run in the test process, so that tests can inspect
+which calls ran.
 """
 
 import hashlib
@@ -30,7 +30,7 @@
 
 
 class Daemon:
-    """A process of the fleet."""
+    """A router or agent in a process of its own."""
 
     def __init__(self, kind, address, arguments):
         self.address = address
@@ -67,7 +67,7 @@
 
 
 class ProcessFleet:
-    """Two routers, and an agent before each plain service ``desk``."""
+    """Two routers, and an agent for each server of the service ``desk``."""
 
     def __init__(self, servers=2):
         self.platform = platform_server.Platform()
@@ -151,7 +151,7 @@
     def call(
         self, marker, *, path="/bookings", method="POST", router=0, key=""
     ):
-        """Send a call and return its status and its body as JSON."""
+        """Send a call; return its status and its decoded JSON body."""
         headers = {
             "Authorization": f"Bearer {CALLER_KEY}",
             "X-Marker": marker,
@@ -181,7 +181,7 @@
 
 
 def wait_until(condition):
-    """Wait for a condition; fail if it does not come true."""
+    """Wait until a condition holds; fail if it does not in time."""
     with gevent.Timeout(PATIENCE):
         while not condition():
             gevent.sleep(0.02)
--- a/packages/daisypick_lab/tests/processes/test_kills_and_freezes.py
+++ b/packages/daisypick_lab/tests/processes/test_kills_and_freezes.py
@@ -13,15 +13,15 @@
 
 
 def find_desk(fleet, marker):
-    """Return the number of the desk that runs a call, once one does."""
+    """Wait until a server runs a call; return the server's index."""
     process_fleet.wait_until(lambda: fleet.runs(marker))
     return [d.runs_by_marker[marker] for d in fleet.desks].index(1)
 
 
 def test_killed_agent_loses_no_repeatable_call(fleet):
-    # Calls that may be repeated run when their agent is killed. The router
-    # sees the connection break, cannot reach the agent, and runs them
-    # elsewhere; every caller gets its own answer.
+    # The agent is killed while repeatable calls run. The router sees the
+    # connection break, can't reach the agent and retries the calls elsewhere;
+    # every caller must get the response to its own call.
     fleet.delay(0.5)
     calls = [
         gevent.spawn(fleet.call, f"m{n}", path="/plots", method="GET")
@@ -35,9 +35,9 @@
 
 
 def test_killed_agent_makes_a_booking_unknown_and_it_runs_once(fleet):
-    # A booking runs when its agent is killed, and the agent starts again with
-    # nothing in memory. The caller is told "unknown"; a retry of its key
-    # through the other router must not run the booking a second time.
+    # The agent is killed while a booking runs and restarts with no state. The
+    # caller gets "unknown"; a retry with the same idempotency key through the
+    # other router must not run the booking again.
     fleet.delay(1.0)
     call = gevent.spawn(fleet.call, "b", key="k")
     number = find_desk(fleet, "b")
@@ -52,10 +52,10 @@
     assert fleet.runs("b") == 1
 
 
-def test_frozen_agent_answers_after_it_wakes(fleet):
-    # The agent is frozen while a booking runs, for longer than the router
-    # waits on a silent connection. Retries of the key through both routers
-    # meanwhile run nothing; the booking has run once when the agent wakes.
+def test_suspended_agent_responds_after_it_resumes(fleet):
+    # The agent is suspended while a booking runs, for longer than the router's
+    # progress timeout. Retries of the key through both routers must run
+    # nothing meanwhile; the booking has run once when the agent resumes.
     fleet.delay(1.0)
     call = gevent.spawn(fleet.call, "f", key="k")
     agent = fleet.agents[find_desk(fleet, "f")]
@@ -71,9 +71,10 @@
     assert (status, body["marker"], fleet.runs("f")) == (201, "f", 1)
 
 
-def test_killed_router_leaves_its_booking_to_the_other(fleet):
-    # The router is killed after it has sent a booking. The caller retries
-    # with its key through the other router and gets the first run's answer.
+def test_retry_after_a_router_kill_gets_the_first_response(fleet):
+    # The router is killed after it has sent a booking. The caller retries the
+    # same key through the other router and must get the response of the
+    # first run.
     fleet.delay(1.0)
     lost = gevent.spawn(fleet.call, "r", key="k")
     find_desk(fleet, "r")
@@ -87,9 +88,9 @@
     assert fleet.runs("r") == 1
 
 
-def test_terminated_processes_end_and_cut_nothing(fleet):
-    # Router and agent are told to stop while calls run. Each ends by itself
-    # after its last call, and no caller sees anything of it.
+def test_terminated_processes_exit_without_failing_calls(fleet):
+    # Router and agent receive SIGTERM while calls run. Each must exit after
+    # its last call, and no call may fail.
     fleet.delay(0.5)
     calls = [gevent.spawn(fleet.call, f"t{n}", key=f"k{n}") for n in range(6)]
     agent = fleet.agents[find_desk(fleet, "t0")]
@@ -104,9 +105,9 @@
 
 
 def test_all_agents_of_a_data_centre_restart_during_an_outage(fleet):
-    # The store goes down and the agent of one data centre is killed and
-    # starts again with nothing. It takes the configuration from its peers and
-    # serves; bookings with a key are refused truly, as "not run".
+    # The store is unavailable, and the agent of one data centre is killed and
+    # restarts with no state. It must get the configuration from its peers and
+    # serve; bookings with a key must be refused as "not run".
     fleet.platform.set_faults(type(fleet.platform.faults)(outage="unavailable"))
     agent = fleet.agents[1]
     agent.send(signal.SIGKILL)
--- a/packages/daisypick_lab/tests/test_callers.py
+++ b/packages/daisypick_lab/tests/test_callers.py
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("is_stream", [False, True])
-def test_whole_own_answer(engine, is_stream):
+def test_whole_response_is_accepted(engine, is_stream):
     answered, noted = _call(engine, is_stream=is_stream)
     assert (answered.outcome, answered.reason) == (callers.WHOLE, "")
     assert (answered.completion_tokens, answered.prompt_tokens) == (8, 8)
@@ -48,14 +48,14 @@
         ("fail", callers.REFUSED),
     ],
 )
-def test_faulty_answers_are_told_apart(engine, fault, outcome, is_stream):
+def test_faulty_responses_are_distinguished(engine, fault, outcome, is_stream):
     engine.set_faults(engine_faults.Faults(**{fault: 1}))
     answered, _ = _call(engine, is_stream=is_stream)
     assert answered.outcome == outcome
     assert answered.reason
 
 
-def test_nobody_listening_is_surely_not_run(engine):
+def test_refused_connection_is_reported_as_not_run(engine):
     engine.stop()
     answered, _ = _call(engine, is_stream=True)
     assert (answered.outcome, answered.ran) == (callers.REFUSED, "no")
--- a/packages/daisypick_lab/tests/test_embedded.py
+++ b/packages/daisypick_lab/tests/test_embedded.py
@@ -5,9 +5,9 @@
 from daisypick_lab import embedded
 
 
-def test_taken_port_is_left_for_another():
-    # Another program takes the port between the search and the start: the
-    # fleet must not fail to come up for it. Other errors are passed on.
+def test_port_in_use_is_replaced_by_another():
+    # Another program may bind the port between the search and the start. The
+    # fleet must then start on another port; other errors are raised.
     tried = []
 
     def start(address):
--- a/packages/daisypick_lab/tests/test_gates_and_dispatchers.py
+++ b/packages/daisypick_lab/tests/test_gates_and_dispatchers.py
@@ -1,4 +1,4 @@
-"""Real gates and dispatchers under any order of messages and faults."""
+"""Gates and dispatchers under arbitrary orders of messages and faults."""
 
 import collections
 import random
@@ -26,7 +26,7 @@
 
 
 class Machine(stateful.RuleBasedStateMachine):
-    """One router, three agents, messages in any order and doubled."""
+    """One router and three agents; messages out of order or duplicated."""
 
     def __init__(self):
         super().__init__()
@@ -129,7 +129,7 @@
             self.gate_did(action.agent, gate.offer(attempt, self.now))
             return
         if attempt.incarnation != gate.incarnation:
-            # As the sender does: a restarted agent cannot tell.
+            # As the sender does: a restarted agent does not know the attempt.
             event = (action.agent, gate.load(), "broken", attempt, (BROKEN,))
             self.to_router.append(event)
             return
@@ -220,7 +220,7 @@
                 assert self.starts[request_id] == 0
 
     def teardown(self):
-        # Whatever happened: when the faults stop, every request ends.
+        # When the faults stop, every request must end.
         for name in AGENTS:
             self.undrain(name)
         for _ in range(400):
@@ -241,9 +241,10 @@
         return {r for r in self.requests if not self.answers[r]}
 
     def restart_victims(self):
-        """Requests that waited at an agent that restarted.
+        """Return requests that waited at an agent that restarted.
 
-        Their connection tells the router; here only running ones do.
+        In production the broken connection reports these to the router; this
+        model reports only the running ones.
         """
         if not self.restarts:
             return set()
@@ -261,6 +262,6 @@
     stateful_step_count=60,
     deadline=None,
     database=None,
-    # Shrinking these histories takes minutes; the first one found will do.
+    # Shrinking takes minutes here; the first failing history suffices.
     phases=(hypothesis.Phase.explicit, hypothesis.Phase.generate),
 )
--- a/packages/daisypick_lab/tests/test_trouble.py
+++ b/packages/daisypick_lab/tests/test_trouble.py
@@ -1,7 +1,7 @@
-# Callers of many organisations go on calling while something fails. What they
-# must never see, whatever it is: an answer that is cut or another's, a
-# booking that ran twice, a "not run" of a call that ran, or no answer at all.
-# Refusals are allowed, but only with the codes that belong to the trouble.
+# Callers of several organisations keep calling while faults are injected. No
+# fault may lead to a response that is truncated or belongs to another call, a
+# booking that ran twice, a "not run" for a call that ran, or no response at
+# all. Refusals are allowed, but only with the codes listed for the scenario.
 
 import pytest
 
@@ -14,7 +14,7 @@
     *UNKNOWN,
     codes.ANSWER_BROKEN.number,
     codes.ENGINE_FAILED.number,
-    0,  # The service's own answer, passed on.
+    0,  # The response of the service itself, forwarded.
 }
 SHAPE = shapes.DEMO._replace(
     engine=shapes.DEMO.engine._replace(token_interval=0.004),
@@ -39,7 +39,7 @@
         ("agents_drain", set()),
     ],
 )
-def test_promises_hold_in_trouble(name, allowed):
+def test_invariants_hold_under_faults(name, allowed):
     endured = trouble.endure(name, shape=SHAPE, seed=1)
     assert endured.verdict.is_clean, endured.verdict
     assert endured.is_done
