--- a/packages/daisypick_lab/src/daisypick_lab/dispatch_measure.py
+++ b/packages/daisypick_lab/src/daisypick_lab/dispatch_measure.py
@@ -56,7 +56,7 @@
             f"organisation-{organisation}",
             min(1000, int(20 * rng.paretovariate(1.5))),
             prefix=f"{organisation}/{prefix}",
-            patience=1000.0,
+            timeout=1000.0,
         )
 
     def at_rate(self, rate: float, until: float) -> None:
@@ -73,18 +73,18 @@
     """Queue the whole backlog at 1, 10 and all 200 of the routers."""
     results = []
     sizes = dispatch_model.Sizes(routers=200, agents=60, slots=8)
-    for holders in (1, 10, 200):
+    for loaded_routers in (1, 10, 200):
         fleet = dispatch_model.Fleet(sizes=sizes, cold_slots=8, seed=SEED)
         names = list(fleet.router_by_name)
-        arrivals = Arrivals(fleet=fleet, routers=names[:holders])
+        arrivals = Arrivals(fleet=fleet, routers=names[:loaded_routers])
         for _ in range(12_000):
             arrivals.submit()
         fleet.clock.run(5.0)
-        fleet.watch.clear()
+        fleet.metrics.clear()
         fleet.clock.run(20.0)
         results.append(
-            {"holders": holders, "left": fleet.watch.held}
-            | _waiting(fleet.watch)
+            {"holders": loaded_routers, "left": fleet.metrics.queued}
+            | _queueing_result(fleet.metrics)
         )
     return results
 
@@ -94,18 +94,20 @@
     """Send requests at 95 % of capacity to all of many routers."""
     sizes = dispatch_model.Sizes(routers=200, agents=60, slots=8)
     results = []
-    for seeks in (False, True):
+    for announces_idle in (False, True):
         fleet = dispatch_model.Fleet(
-            sizes=sizes, cold_slots=8, seeks=seeks, seed=SEED
+            sizes=sizes, cold_slots=8, announces_idle=announces_idle, seed=SEED
         )
-        fleet.acquaint()
+        fleet.exchange_loads()
         arrivals = Arrivals(fleet=fleet, routers=list(fleet.router_by_name))
         arrivals.at_rate(0.95 * 480 / 1.33, 40.0)
         fleet.clock.run(10.0)
-        fleet.watch.clear()
+        fleet.metrics.clear()
         fleet.clock.run(40.0)
         results.append(
-            {"seeks": seeks} | _waiting(fleet.watch) | _first_token(fleet)
+            {"seeks": announces_idle}
+            | _queueing_result(fleet.metrics)
+            | _first_token_result(fleet)
         )
     return results
 
@@ -120,13 +122,13 @@
             sizes=sizes, cold_slots=8, policy=policy, seed=SEED
         )
         for slow in ("agent-3", "agent-7"):
-            fleet.agent_by_name[slow].server.factor = 4.0
+            fleet.agent_by_name[slow].server.slowdown = 4.0
         arrivals = Arrivals(fleet=fleet, routers=list(fleet.router_by_name))
         arrivals.at_rate(0.7 * 320 / 1.33, 60.0)
         fleet.clock.run(15.0)
-        fleet.watch.clear()
+        fleet.metrics.clear()
         fleet.clock.run(60.0)
-        results.append({"policy": policy} | _first_token(fleet))
+        results.append({"policy": policy} | _first_token_result(fleet))
     return results
 
 
@@ -150,14 +152,14 @@
         results.append(
             {
                 "cold_slots": cold_slots,
-                "falls": sum(server.falls for server in servers),
-                "broken": fleet.watch.cut,
-                "failed": len(fleet.watch.failures),
-                "finished": fleet.watch.finished,
-                "returns": dict(fleet.watch.returns_by_title),
-                "attempts_per_start": _attempts(fleet.watch),
+                "falls": sum(server.crashes for server in servers),
+                "broken": fleet.metrics.broken_count,
+                "failed": len(fleet.metrics.failures),
+                "finished": fleet.metrics.finished,
+                "returns": dict(fleet.metrics.not_run_by_title),
+                "attempts_per_start": _attempts(fleet.metrics),
             }
-            | _first_token(fleet)
+            | _first_token_result(fleet)
         )
     return results
 
@@ -172,63 +174,63 @@
     arrivals.at_rate(0.55 * 240 / 1.33, 100.0)
     results = []
 
-    def _note_phase(phase: str, until: float) -> None:
-        fleet.watch.clear()
+    def _record_phase(phase: str, until: float) -> None:
+        fleet.metrics.clear()
         fleet.clock.run(until)
-        late = [
+        starts_there = [
             at - (until - 20.0)
-            for at, name in fleet.watch.starts
+            for at, name in fleet.metrics.starts
             if fleet.agent_by_name[name].data_centre == "dc-0"
         ]
         servers = [agent.server for agent in fleet.agent_by_name.values()]
         results.append(
             {
                 "phase": phase,
-                "starts_there": len(late),
-                "last_start_there": round(max(late, default=0.0), 3),
-                "broken": fleet.watch.cut,
-                "failed": len(fleet.watch.failures),
-                "falls": sum(server.falls for server in servers),
-                "returns": dict(fleet.watch.returns_by_title),
+                "starts_there": len(starts_there),
+                "last_start_there": round(max(starts_there, default=0.0), 3),
+                "broken": fleet.metrics.broken_count,
+                "failed": len(fleet.metrics.failures),
+                "falls": sum(server.crashes for server in servers),
+                "returns": dict(fleet.metrics.not_run_by_title),
             }
-            | _first_token(fleet)
+            | _first_token_result(fleet)
         )
 
     fleet.clock.run(20.0)
-    _note_phase("before", 40.0)
+    _record_phase("before", 40.0)
     fleet.publish(fleet.configuration(2, out=("dc-0",)))
-    _note_phase("out", 60.0)
+    _record_phase("out", 60.0)
     for agent in fleet.agent_by_name.values():
         if agent.data_centre == "dc-0":
             agent.server.turn_cold()
     fleet.publish(fleet.configuration(3))
-    _note_phase("back", 80.0)
-    _note_phase("after", 100.0)
+    _record_phase("back", 80.0)
+    _record_phase("after", 100.0)
     return results
 
 
-def _waiting(watch: dispatch_model.Watch) -> Result:
-    watch.note()
+def _queueing_result(metrics: dispatch_model.FleetMetrics) -> Result:
+    metrics.record()
     return {
-        "utilisation": round(watch.utilisation, 4),
-        "idle_slot_seconds": round(watch.idle_for_held, 2),
-        "attempts_per_start": _attempts(watch),
-        "returns": dict(watch.returns_by_title),
-        "notices_per_agent_second": round(watch.notices / 60 / 30, 2),
+        "utilisation": round(metrics.utilisation, 4),
+        "idle_slot_seconds": round(metrics.usable_idle_slot_seconds, 2),
+        "attempts_per_start": _attempts(metrics),
+        "returns": dict(metrics.not_run_by_title),
+        "notices_per_agent_second": round(metrics.announcements / 60 / 30, 2),
     }
 
 
-def _attempts(watch: dispatch_model.Watch) -> float:
-    return round(watch.attempts / max(1, len(watch.starts)), 3)
+def _attempts(metrics: dispatch_model.FleetMetrics) -> float:
+    return round(metrics.attempts / max(1, len(metrics.starts)), 3)
 
 
-def _first_token(fleet: dispatch_model.Fleet) -> Result:
+def _first_token_result(fleet: dispatch_model.Fleet) -> Result:
     servers = [agent.server for agent in fleet.agent_by_name.values()]
     hits = sum(server.hits for server in servers)
     misses = sum(server.misses for server in servers)
     return {
-        "first_token_p50": round(fleet.watch.percentile(50), 3),
-        "first_token_p95": round(fleet.watch.percentile(95), 3),
+        "first_token_p50": round(fleet.metrics.percentile(50), 3),
+        "first_token_p95": round(fleet.metrics.percentile(95), 3),
         "prefix_hits": round(hits / max(1, hits + misses), 3),
     }
 
@@ -236,11 +238,11 @@
 def main(names: list[str]) -> None:
     """Run the named scenarios and print their results."""
     for name in names or sorted(by_name):
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         for result in by_name[name]():
             line = {"scenario": name, "seed": SEED} | result
             print(json.dumps(line), flush=True)
-        print(f"# {name}: {time.perf_counter() - began:.1f} s", flush=True)
+        print(f"# {name}: {time.perf_counter() - started_at:.1f} s", flush=True)
 
 
 if __name__ == "__main__":
--- a/packages/daisypick_lab/src/daisypick_lab/dispatch_model.py
+++ b/packages/daisypick_lab/src/daisypick_lab/dispatch_model.py
@@ -50,78 +50,83 @@
     data_centres: int = 3
 
 
-class Watch:
+class FleetMetrics:
     """Metrics of the whole model.
 
     Attributes:
-        held: Requests accepted by a router that are not running.
+        queued: Requests accepted by a router that are not running.
         running: Running attempts.
         limit: Total concurrency limit of the open gates.
-        idle_while_held: Idle slot-seconds while any request was queued.
-        slot_seconds_while_held: Available slot-seconds in that time.
+        idle_while_queued: Idle slot-seconds while any request was queued.
+        slot_seconds_while_queued: Available slot-seconds in that time.
         attempts: Attempts sent by routers.
         submitted: Submitted requests.
         finished: Requests with a complete response.
         failures: Failures returned to callers.
-        cut: Truncated responses.
+        broken_count: Truncated responses.
         first_tokens: Seconds from arrival to first token.
         starts: Time and agent of each start.
-        returns_by_title: Attempts returned as "not run", by code title.
-        notices: Idle announcements of agents to peers.
-        idle_for_held: Idle slot-seconds that queued requests could have used.
+        not_run_by_title: Attempts returned as "not run", by code title.
+        announcements: Idle announcements of agents to peers.
+        usable_idle_slot_seconds: Idle slot-seconds that queued requests could
+            have used.
     """
 
     def __init__(self, *, clock: virtual_clock.VirtualClock) -> None:
-        self.held = 0
+        self.queued = 0
         self.running = 0
         self.limit = 0
-        self.idle_while_held = 0.0
-        self.slot_seconds_while_held = 0.0
+        self.idle_while_queued = 0.0
+        self.slot_seconds_while_queued = 0.0
         self.attempts = 0
         self.submitted = 0
         self.finished = 0
         self.failures: list[failure_value.Failure] = []
-        self.cut = 0
+        self.broken_count = 0
         self.first_tokens: list[float] = []
         self.starts: list[tuple[float, str]] = []
-        self.returns_by_title: collections.Counter[str] = collections.Counter()
-        self.idle_for_held = 0.0
-        self.notices = 0
+        self.not_run_by_title: collections.Counter[str] = collections.Counter()
+        self.usable_idle_slot_seconds = 0.0
+        self.announcements = 0
         self._clock = clock
         self._since = 0.0
 
-    def note(self, *, held: int = 0, running: int = 0, limit: int = 0) -> None:
+    def record(
+        self, *, queued: int = 0, running: int = 0, limit: int = 0
+    ) -> None:
         """Account for the time since the last change; apply the changes."""
         now = self._clock.now
-        if self.held > 0:
+        if self.queued > 0:
             span = now - self._since
-            self.slot_seconds_while_held += span * self.limit
+            self.slot_seconds_while_queued += span * self.limit
             idle = max(0, self.limit - self.running)
-            self.idle_while_held += span * idle
-            self.idle_for_held += span * min(idle, self.held)
+            self.idle_while_queued += span * idle
+            self.usable_idle_slot_seconds += span * min(idle, self.queued)
         self._since = now
-        self.held += held
+        self.queued += queued
         self.running += running
         self.limit += limit
 
     def clear(self) -> None:
         """Reset the queueing metrics, for instance after a warm-up."""
-        self.note()
-        self.idle_while_held = 0.0
-        self.idle_for_held = 0.0
-        self.slot_seconds_while_held = 0.0
+        self.record()
+        self.idle_while_queued = 0.0
+        self.usable_idle_slot_seconds = 0.0
+        self.slot_seconds_while_queued = 0.0
         self.attempts = 0
-        self.notices = 0
-        self.returns_by_title.clear()
+        self.announcements = 0
+        self.not_run_by_title.clear()
         self.first_tokens.clear()
         self.starts.clear()
 
     @property
     def utilisation(self) -> float:
         """Used fraction of the slots that queued requests could fill."""
-        if not self.slot_seconds_while_held:
+        if not self.slot_seconds_while_queued:
             return 1.0
-        return 1.0 - self.idle_for_held / self.slot_seconds_while_held
+        return (
+            1.0 - self.usable_idle_slot_seconds / self.slot_seconds_while_queued
+        )
 
     def percentile(self, percent: float) -> float:
         """Return a percentile of the time to first token in seconds."""
@@ -147,7 +152,7 @@
         self.server = server_model.ServerModel(
             clock=fleet.clock, times=fleet.times
         )
-        self.seeker = idle_peers.IdleAnnouncer(
+        self.idle_announcer = idle_peers.IdleAnnouncer(
             rng=random.Random(f"{fleet.seed} {name}")
         )
         self._fleet = fleet
@@ -165,25 +170,25 @@
         )
         self.perform(due)
         if status.state == attempts.BARRED and not due:
-            self._answer(attempt, "returned", _WITHDRAWN)
+            self._notify_router(attempt, "returned", _WITHDRAWN)
 
-    def seek(self) -> None:
+    def announce_idle(self) -> None:
         """Announce idle slots to some peers if an announcement is due."""
         now = self._fleet.clock.now
         load = self.gate.load()
-        if not self._fleet.seeks or not self.seeker.is_due(
+        if not self._fleet.announces_idle or not self.idle_announcer.is_due(
             free=load.free, waiting=load.waiting, now=now
         ):
             return
-        self.seeker.record_announced(now)
+        self.idle_announcer.record_announced(now)
         for _ in range(idle_peers.PEERS_PER_ANNOUNCEMENT):
             peer = self._fleet.rng.choice(self._fleet.agents)
-            self._fleet.watch.notices += 1
+            self._fleet.metrics.announcements += 1
             self._fleet.network.send(
-                self.name, peer.name, peer.noticed, self.name, load
+                self.name, peer.name, peer.receive_idle, self.name, load
             )
 
-    def noticed(self, peer: str, load: load_message.Load) -> None:
+    def receive_idle(self, peer: str, load: load_message.Load) -> None:
         """Receive the announcement of an idle peer."""
         now = self._fleet.clock.now
         if peer != self.name:
@@ -205,24 +210,24 @@
             if isinstance(action, gate_actions.Start):
                 self._start(action.attempt)
             elif isinstance(action, gate_actions.Refuse):
-                self._answer(action.attempt, "returned", action.failure)
+                self._notify_router(action.attempt, "returned", action.failure)
             elif isinstance(action, gate_actions.Hint):
-                self._answer(
+                self._notify_router(
                     action.attempt, "hinted", action.agent, action.load
                 )
         limit = self.gate.limit.limit if self.gate.admission.is_open else 0
-        self._fleet.watch.note(limit=limit - self._limit)
+        self._fleet.metrics.record(limit=limit - self._limit)
         self._limit = limit
 
     def _tick(self) -> None:
         self.perform(self.gate.tick(self._fleet.clock.now))
-        self.seek()
+        self.announce_idle()
 
     def _start(self, attempt: attempt_message.Attempt) -> None:
-        watch = self._fleet.watch
-        watch.note(held=-1, running=1)
-        watch.starts.append((self._fleet.clock.now, self.name))
-        self._answer(attempt, "started")
+        metrics = self._fleet.metrics
+        metrics.record(queued=-1, running=1)
+        metrics.starts.append((self._fleet.clock.now, self.name))
+        self._notify_router(attempt, "started")
         self.server.start(
             attempt.attempt_id,
             self._fleet.tokens_by_request[attempt.request_id],
@@ -233,14 +238,14 @@
 
     def _first_token(self, attempt: attempt_message.Attempt) -> None:
         self.gate.progress(attempt.attempt_id, 1, self._fleet.clock.now)
-        self._answer(attempt, "first_token")
+        self._notify_router(attempt, "first_token")
 
     def _end(
         self,
         attempt: attempt_message.Attempt,
         outcome: server_model.Outcome,
     ) -> None:
-        self._fleet.watch.note(running=-1)
+        self._fleet.metrics.record(running=-1)
         due = self.gate.finish(
             attempt.attempt_id,
             cost=float(outcome.tokens),
@@ -248,13 +253,13 @@
             now=self._fleet.clock.now,
         )
         if outcome.is_healthy:
-            self._answer(attempt, "finished")
+            self._notify_router(attempt, "finished")
         else:
-            self._answer(attempt, "broken", _ENGINE_FAILED)
+            self._notify_router(attempt, "broken", _ENGINE_FAILED)
         self.perform(due)
-        self.seek()
+        self.announce_idle()
 
-    def _answer(
+    def _notify_router(
         self,
         attempt: attempt_message.Attempt,
         event: str,
@@ -292,9 +297,9 @@
 
     def submit(self, request: core_dispatcher.Request) -> None:
         """Submit a caller's request to the dispatcher."""
-        watch = self._fleet.watch
-        watch.note(held=1)
-        watch.submitted += 1
+        metrics = self._fleet.metrics
+        metrics.record(queued=1)
+        metrics.submitted += 1
         now = self._fleet.clock.now
         self._sent_at_by_request[request.request_id] = now
         self.perform(self.dispatcher.submit(request, now))
@@ -313,20 +318,20 @@
         if event == "first_token":
             sent_at = self._sent_at_by_request.pop(request_id, None)
             if sent_at is not None:
-                self._fleet.watch.first_tokens.append(now - sent_at)
+                self._fleet.metrics.first_tokens.append(now - sent_at)
         elif event == "returned":
             title = arguments[0].code.title
-            self._fleet.watch.returns_by_title[title] += 1
+            self._fleet.metrics.not_run_by_title[title] += 1
         elif event == "finished":
-            self._fleet.watch.finished += 1
+            self._fleet.metrics.finished += 1
         elif event == "broken":
-            self._fleet.watch.cut += 1
-            self._fleet.watch.note(held=1)
+            self._fleet.metrics.broken_count += 1
+            self._fleet.metrics.record(queued=1)
         self.perform(self.dispatcher.record_load(agent, load, now))
         due = getattr(self.dispatcher, event)(attempt_id, *arguments, now)
         self.perform(due or [])
 
-    def hear(self, agent: str, load: load_message.Load) -> None:
+    def record_load(self, agent: str, load: load_message.Load) -> None:
         """Record the load of an agent."""
         now = self._fleet.clock.now
         self.perform(self.dispatcher.record_load(agent, load, now))
@@ -351,10 +356,10 @@
         """Carry actions out."""
         for action in due:
             if isinstance(action, routing_actions.Fail):
-                self._fleet.watch.note(held=-1)
-                self._fleet.watch.failures.append(action.failure)
+                self._fleet.metrics.record(queued=-1)
+                self._fleet.metrics.failures.append(action.failure)
             elif isinstance(action, routing_actions.Dispatch):
-                self._fleet.watch.attempts += 1
+                self._fleet.metrics.attempts += 1
                 agent = self._fleet.agent_by_name[action.agent]
                 self._send(agent, agent.offer, action.attempt)
             elif isinstance(action, routing_actions.Withdraw):
@@ -364,10 +369,10 @@
     def _send(
         self,
         agent: AgentModel,
-        act: typing.Callable,
+        handler: typing.Callable,
         attempt: attempt_message.Attempt,
     ) -> None:
-        self._fleet.network.send(self.name, agent.name, act, attempt)
+        self._fleet.network.send(self.name, agent.name, handler, attempt)
 
     def _tick(self) -> None:
         self.perform(self.dispatcher.tick(self._fleet.clock.now))
@@ -383,18 +388,18 @@
         times: server_model.ServerTimes = server_model.ServerTimes(),  # noqa: B008
         policy: str = "least_of_two",
         cold_slots: int = 1,
-        seeks: bool = True,
+        announces_idle: bool = True,
         seed: int = 1,
     ) -> None:
         self.sizes = sizes
         self.times = times
         self.cold_slots = cold_slots
-        self.seeks = seeks
+        self.announces_idle = announces_idle
         self.rng = random.Random(f"{seed} peers")
         self.seed = seed
         self.clock = virtual_clock.VirtualClock()
         self.network = virtual_clock.Network(clock=self.clock, delay=DELAY)
-        self.watch = Watch(clock=self.clock)
+        self.metrics = FleetMetrics(clock=self.clock)
         self.tokens_by_request: dict[str, int] = {}
         self.agent_by_name = {
             f"agent-{n}": AgentModel(
@@ -449,14 +454,14 @@
         for router in self.router_by_name.values():
             router.configure(configuration)
 
-    def acquaint(self) -> None:
+    def exchange_loads(self) -> None:
         """Report the load of each agent to each router once.
 
         Routers of a fleet that has run for a while know all agents.
         """
         for router in self.router_by_name.values():
             for agent in self.agents:
-                router.hear(agent.name, agent.gate.load())
+                router.record_load(agent.name, agent.gate.load())
 
     def submit(
         self,
@@ -465,7 +470,7 @@
         tokens: int,
         *,
         prefix: str = "",
-        patience: float = 60.0,
+        timeout: float = 60.0,
     ) -> None:
         """Submit a request of a caller to a router."""
         request_id = f"q{len(self.tokens_by_request)}"
@@ -476,7 +481,7 @@
                 organisation=organisation,
                 service=SERVICE,
                 estimate=float(tokens),
-                deadline=self.clock.now + patience,
+                deadline=self.clock.now + timeout,
                 prefix=prefix,
                 is_stream=True,
             )
--- a/packages/daisypick_lab/src/daisypick_lab/server_model.py
+++ b/packages/daisypick_lab/src/daisypick_lab/server_model.py
@@ -20,7 +20,7 @@
         token: Seconds between tokens.
         cold_factor: Slowdown factor of a cold server.
         cold_seconds: Duration of a cold start.
-        cold_bears: Concurrent requests that a cold server can handle.
+        cold_concurrency: Concurrent requests that a cold server can handle.
         prefixes: Number of prefixes that the cache holds.
     """
 
@@ -29,7 +29,7 @@
     token: float = 0.02
     cold_factor: float = 8.0
     cold_seconds: float = 5.0
-    cold_bears: int = 1
+    cold_concurrency: int = 1
     prefixes: int = 16
 
 
@@ -44,19 +44,19 @@
     """Runs requests in virtual time.
 
     Attributes:
-        factor: Slowdown factor of the server, 1 for a healthy one.
+        slowdown: Slowdown factor of the server, 1 for a healthy one.
         hits: Number of runs whose prefix was cached.
         misses: Number of runs whose prefix was not cached.
-        falls: Number of crashes.
+        crashes: Number of crashes.
     """
 
     def __init__(
         self, *, clock: virtual_clock.VirtualClock, times: ServerTimes
     ) -> None:
-        self.factor = 1.0
+        self.slowdown = 1.0
         self.hits = 0
         self.misses = 0
-        self.falls = 0
+        self.crashes = 0
         self._clock = clock
         self._times = times
         self._cold_until = 0.0
@@ -85,17 +85,20 @@
     ) -> None:
         """Run a request; call back at its first token and at its end."""
         self._end_by_run[run_id] = on_end
-        if self.is_cold and len(self._end_by_run) > self._times.cold_bears:
-            self._fall_over()
+        if (
+            self.is_cold
+            and len(self._end_by_run) > self._times.cold_concurrency
+        ):
+            self._crash()
             return
-        slowness = self.factor
-        slowness *= self._times.cold_factor if self.is_cold else 1.0
-        first = slowness * self._read(prefix)
-        total = first + slowness * tokens * self._times.token
-        self._clock.after(first, self._tell, run_id, on_token)
+        slowdown = self.slowdown
+        slowdown *= self._times.cold_factor if self.is_cold else 1.0
+        first = slowdown * self._prefill_seconds(prefix)
+        total = first + slowdown * tokens * self._times.token
+        self._clock.after(first, self._notify_first_token, run_id, on_token)
         self._clock.after(total, self._end, run_id, Outcome(tokens, True))
 
-    def _read(self, prefix: str) -> float:
+    def _prefill_seconds(self, prefix: str) -> float:
         if prefix in self._prefixes:
             self._prefixes.move_to_end(prefix)
             self.hits += 1
@@ -106,7 +109,9 @@
             self._prefixes.popitem(last=False)
         return self._times.miss
 
-    def _tell(self, run_id: str, on_token: Callable[[], None]) -> None:
+    def _notify_first_token(
+        self, run_id: str, on_token: Callable[[], None]
+    ) -> None:
         if run_id in self._end_by_run:
             on_token()
 
@@ -115,8 +120,8 @@
         if on_end is not None:
             on_end(outcome)
 
-    def _fall_over(self) -> None:
-        self.falls += 1
+    def _crash(self) -> None:
+        self.crashes += 1
         self.turn_cold()
         for run_id in list(self._end_by_run):
             self._clock.after(
--- a/packages/daisypick_lab/src/daisypick_lab/virtual_clock.py
+++ b/packages/daisypick_lab/src/daisypick_lab/virtual_clock.py
@@ -3,12 +3,12 @@
 Examples:
     >>> clock = VirtualClock()
     >>> network = Network(clock=clock, delay=0.5)
-    >>> heard = []
-    >>> network.send("a", "b", heard.append, "late")
-    >>> network.cut("b"); network.send("a", "b", heard.append, "held")
-    >>> clock.run(1.0); heard
+    >>> received = []
+    >>> network.send("a", "b", received.append, "late")
+    >>> network.disconnect("b"); network.send("a", "b", received.append, "held")
+    >>> clock.run(1.0); received
     ['late']
-    >>> network.heal("b"); clock.run(2.0); heard, clock.now
+    >>> network.reconnect("b"); clock.run(2.0); received, clock.now
     (['late', 'held'], 2.0)
 """
 
@@ -31,26 +31,26 @@
         self._ids = itertools.count()
 
     def after(
-        self, delay: float, act: Callable, *arguments: typing.Any
+        self, delay: float, callback: Callable, *arguments: typing.Any
     ) -> None:
         """Schedule a callback after a delay in seconds."""
-        entry = (self.now + delay, next(self._ids), act, arguments)
+        entry = (self.now + delay, next(self._ids), callback, arguments)
         heapq.heappush(self._heap, entry)
 
-    def every(self, period: float, act: Callable[[], None]) -> None:
+    def every(self, period: float, callback: Callable[[], None]) -> None:
         """Schedule a callback periodically."""
 
-        def _again() -> None:
-            act()
-            self.after(period, _again)
+        def _run_periodically() -> None:
+            callback()
+            self.after(period, _run_periodically)
 
-        self.after(period, _again)
+        self.after(period, _run_periodically)
 
     def run(self, until: float) -> None:
         """Advance the time, running the callbacks that are due."""
         while self._heap and self._heap[0][0] <= until:
-            self.now, _, act, arguments = heapq.heappop(self._heap)
-            act(*arguments)
+            self.now, _, callback, arguments = heapq.heappop(self._heap)
+            callback(*arguments)
         self.now = until
 
 
@@ -63,23 +63,27 @@
     def __init__(self, *, clock: VirtualClock, delay: float) -> None:
         self._clock = clock
         self._delay = delay
-        self._held_by_end: dict[str, list[tuple[Callable, tuple]]] = {}
+        self._queued_by_endpoint: dict[str, list[tuple[Callable, tuple]]] = {}
 
     def send(
-        self, source: str, target: str, act: Callable, *arguments: typing.Any
+        self,
+        source: str,
+        target: str,
+        callback: Callable,
+        *arguments: typing.Any,
     ) -> None:
-        """Deliver a message by calling ``act`` at the target."""
-        for end in (source, target):
-            if end in self._held_by_end:
-                self._held_by_end[end].append((act, arguments))
+        """Deliver a message by calling ``callback`` at the target."""
+        for endpoint in (source, target):
+            if endpoint in self._queued_by_endpoint:
+                self._queued_by_endpoint[endpoint].append((callback, arguments))
                 return
-        self._clock.after(self._delay, act, *arguments)
+        self._clock.after(self._delay, callback, *arguments)
 
-    def cut(self, end: str) -> None:
+    def disconnect(self, endpoint: str) -> None:
         """Queue all messages to and from an endpoint."""
-        self._held_by_end.setdefault(end, [])
+        self._queued_by_endpoint.setdefault(endpoint, [])
 
-    def heal(self, end: str) -> None:
-        """Deliver the queued messages in order; end the cut."""
-        for act, arguments in self._held_by_end.pop(end, ()):
-            self._clock.after(self._delay, act, *arguments)
+    def reconnect(self, endpoint: str) -> None:
+        """Deliver the queued messages of an endpoint in order."""
+        for callback, arguments in self._queued_by_endpoint.pop(endpoint, ()):
+            self._clock.after(self._delay, callback, *arguments)
--- a/packages/daisypick_lab/tests/test_dispatch_model.py
+++ b/packages/daisypick_lab/tests/test_dispatch_model.py
@@ -23,15 +23,15 @@
     return sum(
         begin <= at < end
         and fleet.agent_by_name[name].data_centre == data_centre
-        for at, name in fleet.watch.starts
+        for at, name in fleet.metrics.starts
     )
 
 
 def assert_all_served(fleet):
-    watch = fleet.watch
-    assert watch.failures == []
-    assert (watch.cut, watch.held, watch.running) == (0, 0, 0)
-    assert watch.finished == watch.submitted > 500
+    metrics = fleet.metrics
+    assert metrics.failures == []
+    assert (metrics.broken_count, metrics.queued, metrics.running) == (0, 0, 0)
+    assert metrics.finished == metrics.submitted > 500
 
 
 def test_data_centre_out_and_in_loses_no_request():
@@ -106,14 +106,14 @@
     fleet = dispatch_model.Fleet()
     load_fleet(fleet, until=20.0, rate=130.0)
     fleet.clock.run(10.0)
-    fleet.network.cut("router-0")
+    fleet.network.disconnect("router-0")
     for name, router in fleet.router_by_name.items():
         if name != "router-0":
             router.configure(fleet.configuration(2, out=("dc-0",)))
     for agent in fleet.agent_by_name.values():
         agent.configure(fleet.configuration(2, out=("dc-0",)))
     fleet.clock.run(18.0)
-    fleet.network.heal("router-0")
+    fleet.network.reconnect("router-0")
     fleet.clock.run(60.0)
     assert starts_in(fleet, "dc-0", 10.0, 60.0) == 0
     assert_all_served(fleet)
@@ -127,19 +127,21 @@
     fleet.clock.run(10.0)
     router = fleet.router_by_name["router-0"]
     fleet.agent_by_name["agent-0"].drain(admission.SHUTDOWN)
-    held = router.dispatcher.queued_count + router.dispatcher.in_flight_count
-    assert held > 0
+    queued = router.dispatcher.queued_count + router.dispatcher.in_flight_count
+    assert queued > 0
     router.dispatcher.close()
-    refused_before = len(fleet.watch.failures)
+    refused_before = len(fleet.metrics.failures)
     fleet.clock.run(60.0)
     assert router.dispatcher.is_idle
     assert not router.dispatcher.is_ready
-    late = [at for at, n in fleet.watch.starts if n == "agent-0" and at > 10.0]
+    late = [
+        at for at, n in fleet.metrics.starts if n == "agent-0" and at > 10.0
+    ]
     assert late == []
-    refused = len(fleet.watch.failures) - refused_before
-    assert {f.ran for f in fleet.watch.failures} == {"no"}
-    assert fleet.watch.finished + refused == fleet.watch.submitted
-    assert (fleet.watch.cut, fleet.watch.held) == (0, 0)
+    refused = len(fleet.metrics.failures) - refused_before
+    assert {f.ran for f in fleet.metrics.failures} == {"no"}
+    assert fleet.metrics.finished + refused == fleet.metrics.submitted
+    assert (fleet.metrics.broken_count, fleet.metrics.queued) == (0, 0)
 
 
 def test_one_router_with_all_the_backlog_keeps_all_slots_busy():
@@ -151,8 +153,8 @@
     for n in range(2500):
         fleet.submit("router-7", f"organisation-{n % 8}", rng.randrange(1, 80))
     fleet.clock.run(2.0)
-    fleet.watch.clear()
+    fleet.metrics.clear()
     fleet.clock.run(12.0)
-    fleet.watch.note()
-    assert fleet.watch.held > 500
-    assert fleet.watch.utilisation >= 0.99
+    fleet.metrics.record()
+    assert fleet.metrics.queued > 500
+    assert fleet.metrics.utilisation >= 0.99
