--- a/packages/daisypick_lab/src/daisypick_lab/fairness_faults.py
+++ b/packages/daisypick_lab/src/daisypick_lab/fairness_faults.py
@@ -70,14 +70,14 @@
         )
 
     fleet.at(FAULT_AT, _split)
-    fleet.at(FAULT_AT + FAULT_SECONDS, lambda: _heal(fleet))
+    fleet.at(FAULT_AT + FAULT_SECONDS, lambda: _restore_views(fleet))
 
 
 @register("two collectors and two heads for 60 s")
-def double_roles(fleet: fairness_fleet.Fleet) -> None:
+def duplicate_roles(fleet: fairness_fleet.Fleet) -> None:
     """Make every other agent consider the collector and heads dead."""
 
-    def _double() -> None:
+    def _duplicate_roles() -> None:
         holders = _role_addresses(fleet)
         others = [one for one in fleet.agents if one.address not in holders]
         fleet.set_views(
@@ -86,8 +86,8 @@
             )
         )
 
-    fleet.at(FAULT_AT, _double)
-    fleet.at(FAULT_AT + FAULT_SECONDS, lambda: _heal(fleet))
+    fleet.at(FAULT_AT, _duplicate_roles)
+    fleet.at(FAULT_AT + FAULT_SECONDS, lambda: _restore_views(fleet))
 
 
 @register("every agent restarts, one in 2 s")
@@ -113,5 +113,5 @@
     fleet.at(0.0, _stop)
 
 
-def _heal(fleet: fairness_fleet.Fleet) -> None:
+def _restore_views(fleet: fairness_fleet.Fleet) -> None:
     fleet.set_views(lambda agent: fleet.agents)
--- a/packages/daisypick_lab/src/daisypick_lab/fairness_fleet.py
+++ b/packages/daisypick_lab/src/daisypick_lab/fairness_fleet.py
@@ -156,9 +156,9 @@
         for run in agent.running_by_id.values():
             self.finished_by_tenant[run.tenant] += int(self._generated(run))
         agent.running_by_id = {}
-        self.at(self.now + down_seconds, lambda: self._replace(index))
+        self.at(self.now + down_seconds, lambda: self._start_successor(index))
 
-    def _replace(self, index: int) -> None:
+    def _start_successor(self, index: int) -> None:
         start = int(self.now * 1000)
         self.agents[index] = Agent(self.settings, index, start, self.now)
         self.set_views(lambda agent: self.agents)
@@ -176,7 +176,7 @@
         for tenant in self.settings.tenants:
             if self._reaches(tenant, agent):
                 for _ in range(tenant.depth):
-                    self._offer_later(agent, tenant, moment)
+                    self._schedule_offer(agent, tenant, moment)
 
     def _reaches(self, tenant: fairness_settings.Tenant, agent: Agent) -> bool:
         index = self._index_by_address[agent.address]
@@ -194,9 +194,9 @@
             key=lambda one: sent[one.name] / one.share,
         )
         sent[tenant.name] += 1
-        self._offer_later(agent, tenant, moment, router=router)
+        self._schedule_offer(agent, tenant, moment, router=router)
 
-    def _offer_later(
+    def _schedule_offer(
         self,
         agent: Agent,
         tenant: fairness_settings.Tenant,
@@ -211,12 +211,12 @@
         if not agent.is_alive:
             return
         if tenant.off_from <= self.now < tenant.off_until:
-            self._offer_later(agent, tenant, tenant.off_until, router)
+            self._schedule_offer(agent, tenant, tenant.off_until, router)
             return
         cost = min(
-            fairness_settings.LARGEST_COST,
+            fairness_settings.MAX_COST,
             int(
-                fairness_settings.LEAST_COST
+                fairness_settings.MIN_COST
                 * self._rng.paretovariate(fairness_settings.PARETO_SHAPE)
             ),
         )
@@ -239,18 +239,16 @@
             epoch=0,
             router=str(router),
         )
-        self._carry_out(agent, agent.gate.offer(attempt, self.now))
+        self._perform(agent, agent.gate.offer(attempt, self.now))
 
-    def _carry_out(
-        self, agent: Agent, actions_due: list[actions.Action]
-    ) -> None:
+    def _perform(self, agent: Agent, actions_due: list[actions.Action]) -> None:
         for action in actions_due:
             if isinstance(action, actions.Start):
                 self._run(agent, action.attempt)
 
     def _run(self, agent: Agent, attempt: attempt_message.Attempt) -> None:
         name, cost = self._offer_by_id.pop(attempt.attempt_id)
-        self._note_start(name)
+        self._record_start(name)
         agent.running_by_id[attempt.attempt_id] = _Running(
             tenant=name,
             attempt=attempt,
@@ -264,13 +262,13 @@
             self._offer_next(agent, router, moment)
         else:
             tenant = self._tenant_by_name[name]
-            self._offer_later(agent, tenant, moment)
+            self._schedule_offer(agent, tenant, moment)
         self.at(
             self.now + cost / agent.speed,
             lambda: self._finish(agent, attempt.attempt_id),
         )
 
-    def _note_start(self, name: str) -> None:
+    def _record_start(self, name: str) -> None:
         before = self._started_at_by_tenant.get(name, 0.0)
         longest = self.longest_pause_by_tenant.get(name, 0.0)
         self.longest_pause_by_tenant[name] = max(longest, self.now - before)
@@ -281,7 +279,7 @@
             return
         run = agent.running_by_id.pop(attempt_id)
         self.finished_by_tenant[run.tenant] += run.cost
-        self._carry_out(
+        self._perform(
             agent,
             agent.gate.finish(
                 attempt_id, cost=run.cost, is_healthy=True, now=self.now
@@ -298,44 +296,46 @@
             agent.gate.progress(attempt_id, int(self._generated(run)), self.now)
         if self.settings.has_tally:
             for send in agent.node.tick(self.now):
-                self._carry(agent, send)
+                self._send_report(agent, send)
         self.at(self.now + self.settings.period / 4, lambda: self._tick(agent))
 
-    def _carry(self, sender: Agent, send: tally_node.Send) -> None:
+    def _send_report(self, sender: Agent, send: tally_node.Send) -> None:
         """Send a report over the network, subject to its faults."""
         self.messages += 1
         faults = self.settings.faults
         if self._rng.random() < faults.lost:
-            self._fail_later(sender, send.address)
+            self._schedule_failure(sender, send.address)
             return
         delay = fairness_settings.NETWORK_DELAY
         if self._rng.random() < faults.late:
             delay += self._rng.uniform(0.0, 3.0 * self.settings.period)
-        copies = 2 if self._rng.random() < faults.doubled else 1
+        copies = 2 if self._rng.random() < faults.duplicated else 1
         for _ in range(copies):
-            self.at(self.now + delay, lambda: self._arrive(sender, send))
+            self.at(
+                self.now + delay, lambda: self._deliver_report(sender, send)
+            )
 
-    def _arrive(self, sender: Agent, send: tally_node.Send) -> None:
+    def _deliver_report(self, sender: Agent, send: tally_node.Send) -> None:
         receiver = self.agents[self._index_by_address[send.address]]
         if not receiver.is_alive:
-            self._fail_later(sender, send.address)
+            self._schedule_failure(sender, send.address)
             return
-        answer = receiver.node.receive(send.report, self.now)
+        response = receiver.node.receive(send.report, self.now)
         if self._rng.random() < self.settings.faults.lost:
-            self._fail_later(sender, send.address)
+            self._schedule_failure(sender, send.address)
             return
         self.at(
             self.now + fairness_settings.NETWORK_DELAY,
-            lambda: self._take_answer(sender, send.address, answer),
+            lambda: self._receive_response(sender, send.address, response),
         )
 
-    def _take_answer(
-        self, sender: Agent, address: str, answer: reports.Response
+    def _receive_response(
+        self, sender: Agent, address: str, response: reports.Response
     ) -> None:
         if sender.is_alive:
-            sender.node.answered(address, answer, self.now)
+            sender.node.answered(address, response, self.now)
 
-    def _fail_later(self, sender: Agent, address: str) -> None:
+    def _schedule_failure(self, sender: Agent, address: str) -> None:
         self.at(
             self.now + fairness_settings.CALL_TIMEOUT,
             lambda: sender.node.failed(address, self.now),
--- a/packages/daisypick_lab/src/daisypick_lab/fairness_model.py
+++ b/packages/daisypick_lab/src/daisypick_lab/fairness_model.py
@@ -2,7 +2,7 @@
 
 The gap is the largest difference, between any two backlogged organisations
 and over the whole run, of tokens served per unit of share. Its unit is the
-largest request (``fairness_settings.LARGEST_COST`` tokens) per unit of share.
+largest request (``fairness_settings.MAX_COST`` tokens) per unit of share.
 """
 
 import argparse
@@ -22,7 +22,7 @@
 SAMPLE_SECONDS = 0.5
 WARM_UP_SECONDS = 30.0
 SHARES = (1.0, 1.0, 1.0, 1.0, 4.0, 4.0, 16.0, 16.0)
-FLOODER = 0
+OVERLOADING_TENANT = 0
 PERIODS = (0.5, 1.0, 2.0, 5.0)
 SLOWEST_PERIOD = 10.0
 
@@ -55,11 +55,11 @@
 
 
 def make_tenants(
-    *, flood_depth: int = 2
+    *, overload_depth: int = 2
 ) -> tuple[fairness_settings.Tenant, ...]:
     """Return eight backlogged organisations, distributed unevenly.
 
-    ``t0`` may overload the agents: it keeps ``flood_depth`` attempts waiting
+    ``t0`` may overload the agents: it keeps ``overload_depth`` attempts waiting
     at each. ``t3`` and ``t4`` use one router each, ``t4`` reaches a quarter
     of the agents and ``t5`` half of them.
     """
@@ -67,7 +67,9 @@
         fairness_settings.Tenant(name=f"t{index}", share=share)
         for index, share in enumerate(SHARES)
     ]
-    tenants[FLOODER] = tenants[FLOODER]._replace(depth=flood_depth)
+    tenants[OVERLOADING_TENANT] = tenants[OVERLOADING_TENANT]._replace(
+        depth=overload_depth
+    )
     tenants[3] = tenants[3]._replace(routers=(0,))
     tenants[4] = tenants[4]._replace(reach=0.25, routers=(1,))
     tenants[5] = tenants[5]._replace(reach=0.5)
@@ -154,7 +156,7 @@
 
 
 def _in_requests(tokens: float) -> float:
-    return round(tokens / fairness_settings.LARGEST_COST, 2)
+    return round(tokens / fairness_settings.MAX_COST, 2)
 
 
 class Run(typing.NamedTuple):
@@ -178,21 +180,21 @@
 def _baselines(seconds: float, seed: int) -> Iterator[Run]:
     """Yield runs of every order with the same organisations and costs."""
     for depth in (2, 64):
-        tenants = make_tenants(flood_depth=depth)
+        tenants = make_tenants(overload_depth=depth)
         common = fairness_settings.FleetSettings(tenants=tenants, seed=seed)
-        alone = common._replace(has_tally=False)
+        without_tally = common._replace(has_tally=False)
         for mode in (
             fairness_settings.FIRST_COME,
             fairness_settings.ROUTER_FAIR,
         ):
             yield Run(
                 f"{mode}, flooder keeps {depth}",
-                alone._replace(mode=mode),
+                without_tally._replace(mode=mode),
                 seconds,
             )
         yield Run(
             f"own_service, flooder keeps {depth}",
-            alone._replace(policy="own_service"),
+            without_tally._replace(policy="own_service"),
             seconds,
         )
         for policy in ("fleet_totals", "damped", "damped_by_reach"):
@@ -214,12 +216,12 @@
     for factor in (1, 4):
         yield Run(f"length x{factor}", common, factor * seconds)
     for depth in (16, 64, 256):
-        flooded = common._replace(tenants=make_tenants(flood_depth=depth))
-        yield Run(f"flooder keeps {depth}", flooded, seconds)
+        overloaded = common._replace(tenants=make_tenants(overload_depth=depth))
+        yield Run(f"flooder keeps {depth}", overloaded, seconds)
         # At the start it fills all slots and is then delayed to compensate.
         yield Run(
             f"flooder keeps {depth}, first lead paid back",
-            flooded,
+            overloaded,
             2 * seconds,
             warm_up=seconds,
         )
@@ -236,11 +238,13 @@
         common._replace(speeds=(20.0, 50.0, 100.0)),
         seconds,
     )
-    back = list(tenants)
-    back[6] = back[6]._replace(off_from=60.0, off_until=120.0)
+    with_idle_tenant = list(tenants)
+    with_idle_tenant[6] = with_idle_tenant[6]._replace(
+        off_from=60.0, off_until=120.0
+    )
     yield Run(
         "idle for 60 s and back",
-        common._replace(tenants=tuple(back)),
+        common._replace(tenants=tuple(with_idle_tenant)),
         seconds,
         warm_up=125.0,
     )
@@ -254,7 +258,7 @@
     for name, faults in (
         ("a twentieth lost", fairness_settings.Faults(lost=0.05)),
         ("a fifth lost", fairness_settings.Faults(lost=0.2)),
-        ("half doubled", fairness_settings.Faults(doubled=0.5)),
+        ("half doubled", fairness_settings.Faults(duplicated=0.5)),
         ("half late and crossed", fairness_settings.Faults(late=0.5)),
         ("all of these", fairness_settings.Faults(0.2, 0.5, 0.5)),
     ):
--- a/packages/daisypick_lab/src/daisypick_lab/fairness_settings.py
+++ b/packages/daisypick_lab/src/daisypick_lab/fairness_settings.py
@@ -15,8 +15,8 @@
 NETWORK_DELAY = 0.003
 CALL_TIMEOUT = 1.0
 PARETO_SHAPE = 1.5
-LEAST_COST = 50
-LARGEST_COST = 4000
+MIN_COST = 50
+MAX_COST = 4000
 HINT_ERROR = 8.0
 
 
@@ -48,12 +48,12 @@
 
     Attributes:
         lost: The report or its response is lost; drawn for each.
-        doubled: The report arrives twice.
+        duplicated: The report arrives twice.
         late: The report arrives up to 3 periods late and out of order.
     """
 
     lost: float = 0.0
-    doubled: float = 0.0
+    duplicated: float = 0.0
     late: float = 0.0
 
 
--- a/packages/daisypick_lab/tests/test_fairness_model.py
+++ b/packages/daisypick_lab/tests/test_fairness_model.py
@@ -14,8 +14,8 @@
 TOKENS_PER_SECOND = 50.0
 
 
-def make_settings(*, flood_depth=2, **fields):
-    tenants = fairness_model.make_tenants(flood_depth=flood_depth)
+def make_settings(*, overload_depth=2, **fields):
+    tenants = fairness_model.make_tenants(overload_depth=overload_depth)
     values = {"tenants": tenants, "period": 2.0} | fields
     return fairness_settings.FleetSettings(agents=AGENTS, slots=SLOTS, **values)
 
@@ -34,13 +34,13 @@
 
 def test_baselines_have_larger_gaps():
     # The organisations and costs are the same; only the order differs.
-    alone = make_settings(has_tally=False)
+    without_tally = make_settings(has_tally=False)
     seconds = 3 * SECONDS
     ours = measure(make_settings(), seconds).gap
     baselines = [
-        alone._replace(mode=fairness_settings.FIRST_COME),
-        alone._replace(mode=fairness_settings.ROUTER_FAIR),
-        alone._replace(policy="own_service"),
+        without_tally._replace(mode=fairness_settings.FIRST_COME),
+        without_tally._replace(mode=fairness_settings.ROUTER_FAIR),
+        without_tally._replace(policy="own_service"),
     ]
     for baseline in baselines:
         other = measure(baseline, seconds)
@@ -53,17 +53,17 @@
     # effect on others must not depend on that number. An organisation that is
     # ahead may wait until the others have caught up and for one large
     # request, however many attempts wait.
-    floods = [
-        measure(make_settings(flood_depth=depth)) for depth in (16, 64, 256)
+    measurements = [
+        measure(make_settings(overload_depth=depth)) for depth in (16, 64, 256)
     ]
     shares = sum(fairness_model.SHARES)
     rate = AGENTS * SLOTS * TOKENS_PER_SECOND / shares
-    for flood in floods:
-        assert flood.gap < BOUND
-        lead = (flood.start_gap + 1.0) * fairness_settings.LARGEST_COST
-        assert flood.longest_pause < lead / rate
-    assert floods[2].gap < floods[0].gap + 2.0
-    assert floods[2].longest_pause < 1.5 * floods[0].longest_pause
+    for measurement in measurements:
+        assert measurement.gap < BOUND
+        lead = (measurement.start_gap + 1.0) * fairness_settings.MAX_COST
+        assert measurement.longest_pause < lead / rate
+    assert measurements[2].gap < measurements[0].gap + 2.0
+    assert measurements[2].longest_pause < 1.5 * measurements[0].longest_pause
 
 
 def test_idle_time_gives_no_credit():
@@ -80,9 +80,9 @@
     "faults",
     [
         fairness_settings.Faults(lost=0.2),
-        fairness_settings.Faults(doubled=0.5),
+        fairness_settings.Faults(duplicated=0.5),
         fairness_settings.Faults(late=0.5),
-        fairness_settings.Faults(lost=0.1, doubled=0.5, late=0.5),
+        fairness_settings.Faults(lost=0.1, duplicated=0.5, late=0.5),
     ],
 )
 def test_bound_holds_with_network_faults(faults):
