--- a/packages/daisypick_lab/src/daisypick_lab/callers.py
+++ b/packages/daisypick_lab/src/daisypick_lab/callers.py
@@ -155,9 +155,9 @@
                 router, "POST", CHAT, body=call.body(), headers=self._headers
             )
             if response.status_code != 200:
-                return _refusal(response)
+                return _refused_result(response)
             if not call.is_stream:
-                return _check_whole(call, bytes(response.read()))
+                return _check_chat(call, bytes(response.read()))
             reader = _StreamReader(call, started_at, self._clock)
             try:
                 while data := client.read_available(response):
@@ -166,7 +166,7 @@
                 client.abandon(response)
             return reader.finish()
         except client.CALL_ERRORS as error:
-            return _broken(error)
+            return _failed_result(error)
 
     def plain(self, router: str, call: PlainCall) -> Answered:
         """Call a plain service once."""
@@ -181,10 +181,10 @@
                 router, "POST", path, body=b"{}", headers=headers
             )
             if response.status_code != 201:
-                return _refusal(response)
+                return _refused_result(response)
             return _check_plain(call, bytes(response.read()))
         except client.CALL_ERRORS as error:
-            return _broken(error)
+            return _failed_result(error)
 
 
 class _StreamReader:
@@ -196,7 +196,7 @@
         self._call = call
         self._started_at = started_at
         self._clock = clock
-        self._rest = b""
+        self._buffer = b""
         self._parts: list[str] = []
         self._usage = _Usage()
         self._first_token_seconds = 0.0
@@ -205,19 +205,19 @@
 
     def feed(self, data: bytes) -> int:
         """Parse received bytes; return the number of tokens in them."""
-        *events, self._rest = (self._rest + data).split(b"\n\n")
+        *events, self._buffer = (self._buffer + data).split(b"\n\n")
         count = 0
         for event in events:
             payload = event.removeprefix(_EVENT)
             if payload == _DONE:
                 self._is_done = True
                 continue
-            count += self._take(_body_decoder.decode(payload))
+            count += self._count_tokens(_body_decoder.decode(payload))
         if count and not self._first_token_seconds:
             self._first_token_seconds = self._clock() - self._started_at
         return count
 
-    def _take(self, body: _Body) -> int:
+    def _count_tokens(self, body: _Body) -> int:
         if body.error is not None:
             self._error = str(body.error.get("title", "error in the stream"))
         if body.usage is not None:
@@ -233,25 +233,25 @@
         """Return the result of the whole stream."""
         if self._error or not self._is_done:
             return Answered(BROKEN, self._error or "no end mark")
-        wrong = text.check("".join(self._parts), self._call.marker)
+        mismatch = text.check("".join(self._parts), self._call.marker)
         return Answered(
-            WRONG if wrong else WHOLE,
-            wrong,
+            WRONG if mismatch else WHOLE,
+            mismatch,
             first_token_seconds=self._first_token_seconds,
             prompt_tokens=self._usage.prompt_tokens,
             completion_tokens=self._usage.completion_tokens,
         )
 
 
-def _check_whole(call: ChatCall, data: bytes) -> Answered:
+def _check_chat(call: ChatCall, data: bytes) -> Answered:
     body = _body_decoder.decode(data)
     message = body.choices[0].message if body.choices else None
     content = message.content if message else ""
     usage = body.usage or _Usage()
-    wrong = text.check(content, call.marker)
+    mismatch = text.check(content, call.marker)
     return Answered(
-        WRONG if wrong else WHOLE,
-        wrong,
+        WRONG if mismatch else WHOLE,
+        mismatch,
         prompt_tokens=usage.prompt_tokens,
         completion_tokens=usage.completion_tokens,
     )
@@ -266,7 +266,7 @@
     return Answered(WHOLE)
 
 
-def _refusal(response: client.Response) -> Answered:
+def _refused_result(response: client.Response) -> Answered:
     data = bytes(response.read())
     try:
         problem = msgspec.json.decode(data, type=_Problem)
@@ -277,18 +277,18 @@
         f"{problem.title}: {problem.detail}",
         code=problem.code,
         ran=problem.ran,
-        retry_after=_seconds(response.get("retry-after")),
+        retry_after=_parse_seconds(response.get("retry-after")),
     )
 
 
-def _broken(error: Exception) -> Answered:
+def _failed_result(error: Exception) -> Answered:
     reason = f"{type(error).__name__}: {error}"
     if isinstance(error, client.NotConnectedError):
         return Answered(REFUSED, reason, ran=RAN_NO)
     return Answered(BROKEN, reason, ran=RAN_UNKNOWN)
 
 
-def _seconds(value: typing.Any) -> float:
+def _parse_seconds(value: typing.Any) -> float:
     try:
         return float(value)
     except (TypeError, ValueError):
--- a/packages/daisypick_lab/src/daisypick_lab/embedded.py
+++ b/packages/daisypick_lab/src/daisypick_lab/embedded.py
@@ -33,7 +33,7 @@
 PLAIN_SLOTS = 16
 _CALLS_PER_SECOND = 50.0
 _POLL_SECONDS = 0.01
-_PATIENCE_SECONDS = 20.0
+_WAIT_SECONDS = 20.0
 _PORT_TRIES = 5
 
 
@@ -341,14 +341,14 @@
     raise FleetError(f"no free port in {_PORT_TRIES} tries")
 
 
-def wait_until(condition: Callable[[], bool], what: str) -> None:
+def wait_until(condition: Callable[[], bool], description: str) -> None:
     """Wait until a condition holds.
 
     Raises:
         FleetError: The condition did not hold in time.
     """
-    deadline = time.monotonic() + _PATIENCE_SECONDS
+    deadline = time.monotonic() + _WAIT_SECONDS
     while not condition():
         if time.monotonic() > deadline:
-            raise FleetError(f"timed out waiting for: {what}")
+            raise FleetError(f"timed out waiting for: {description}")
         gevent.sleep(_POLL_SECONDS)
--- a/packages/daisypick_lab/src/daisypick_lab/load.py
+++ b/packages/daisypick_lab/src/daisypick_lab/load.py
@@ -21,11 +21,11 @@
 from daisypick_node.http import client
 
 _PARETO_SHAPE = 1.6
-_LONGEST_FACTOR = 12
+_MAX_TOKENS_FACTOR = 12
 _HINT_DOUBLINGS = 3.0
-_WORDS_OF_PREFIX = ("row", "plot", "saw", "boot", "sole", "stitch", "farm")
+_PREFIX_WORDS = ("row", "plot", "saw", "boot", "sole", "stitch", "farm")
 _BACKOFF_SECONDS = 0.25
-_LONGEST_BACKOFF = 2.0
+_MAX_BACKOFF_SECONDS = 2.0
 _PLAIN_ATTEMPTS = 4
 # Longer than the time within which a router must start or refuse a request.
 _CALL_TIMEOUT = 75.0
@@ -47,7 +47,7 @@
         prefix_characters: Length of the prefix that its prompts share.
         stream_share: Fraction of its chat calls that are streamed.
         plain_share: Fraction of its calls that are plain.
-        twice_share: Fraction of its plain calls sent through two routers
+        duplicate_share: Fraction of its plain calls sent through two routers
             concurrently.
         routers: Indexes of the routers that it calls, empty for all.
     """
@@ -64,13 +64,13 @@
     prefix_characters: int = 512
     stream_share: float = 0.8
     plain_share: float = 0.0
-    twice_share: float = 0.2
+    duplicate_share: float = 0.2
     routers: tuple[int, ...] = ()
 
     @property
     def longest(self) -> int:
         """Maximum number of tokens of a response."""
-        return self.shortest * _LONGEST_FACTOR
+        return self.shortest * _MAX_TOKENS_FACTOR
 
 
 class LoadGenerator:
@@ -147,11 +147,11 @@
     ) -> None:
         self._load = load
         self._profile = profile
-        self._own = load.tally.of(profile.name)
+        self._organisation_tally = load.tally.of(profile.name)
         self._caller = load.caller(profile)
         self._routers = load.routers_of(profile)
         self._rng = random.Random(f"{seed}/{profile.name}/{number}")
-        self._names = (
+        self._markers = (
             f"{profile.name}.{number}.{n}" for n in itertools.count()
         )
         self._prefix = make_prefix(profile)
@@ -176,50 +176,52 @@
 
     def _call_chat(self) -> None:
         call = self._make_chat_call()
-        self._own.sent += 1
-        self._own.open_count += 1
-        self._own.waiting_count += 1
-        meter = _TokenMeter(self._own)
+        self._organisation_tally.sent += 1
+        self._organisation_tally.open_count += 1
+        self._organisation_tally.waiting_count += 1
+        meter = _TokenMeter(self._organisation_tally)
         router = self._rng.choice(self._routers)
         answered = self._caller.chat(router, call, meter.note)
         meter.finish(answered)
-        self._own.open_count -= 1
-        self._count(call.marker, [answered])
+        self._organisation_tally.open_count -= 1
+        self._count_call(call.marker, [answered])
         self._back_off(answered, 0)
 
     def _call_plain(self) -> None:
         """Send a call, retrying under the same idempotency key."""
-        marker = f"{tally_module.PLAIN_PREFIX}{next(self._names)}"
+        marker = f"{tally_module.PLAIN_PREFIX}{next(self._markers)}"
         call = callers.PlainCall(
             service=self._profile.plain_service,
             marker=marker,
             path="/bookings",
             idempotency_key=f"key-{marker}",
         )
-        self._own.sent += 1
-        self._own.open_count += 1
-        all_answered: list[callers.Answered] = []
+        self._organisation_tally.sent += 1
+        self._organisation_tally.open_count += 1
+        results: list[callers.Answered] = []
         for attempt in range(_PLAIN_ATTEMPTS):
             router = self._routers[attempt % len(self._routers)]
-            all_answered += self._send_plain(router, call, attempt)
-            if any(a.outcome == callers.WHOLE for a in all_answered):
+            results += self._send_plain(router, call, attempt)
+            if any(a.outcome == callers.WHOLE for a in results):
                 break
-            self._back_off(all_answered[-1], attempt)
-        self._own.open_count -= 1
-        self._count(marker, all_answered)
+            self._back_off(results[-1], attempt)
+        self._organisation_tally.open_count -= 1
+        self._count_call(marker, results)
 
     def _send_plain(
         self, router: str, call: callers.PlainCall, attempt: int
     ) -> list[callers.Answered]:
-        if attempt or self._rng.random() >= self._profile.twice_share:
+        if attempt or self._rng.random() >= self._profile.duplicate_share:
             return [self._caller.plain(router, call)]
-        sent = [
+        greenlets = [
             gevent.spawn(self._caller.plain, address, call)
             for address in self._routers[:2]
         ]
-        return [greenlet.get() for greenlet in sent]
+        return [greenlet.get() for greenlet in greenlets]
 
-    def _count(self, marker: str, answered: list[callers.Answered]) -> None:
+    def _count_call(
+        self, marker: str, answered: list[callers.Answered]
+    ) -> None:
         """Count a call by its decisive result; record a reported "not run".
 
         A wrong response takes precedence over a whole one, a whole one over
@@ -237,13 +239,13 @@
             return
         seconds = answered.retry_after or _BACKOFF_SECONDS * 2**attempt
         gevent.sleep(
-            min(seconds, _LONGEST_BACKOFF) * (0.5 + self._rng.random())
+            min(seconds, _MAX_BACKOFF_SECONDS) * (0.5 + self._rng.random())
         )
 
     def _make_chat_call(self) -> callers.ChatCall:
         tokens = self._draw_tokens()
         factor = 2.0 ** (self._rng.random() * _HINT_DOUBLINGS)
-        marker = next(self._names)
+        marker = next(self._markers)
         return callers.ChatCall(
             service=self._profile.model_service,
             marker=marker,
@@ -261,9 +263,11 @@
 class _TokenMeter:
     """Counts the tokens of one response while it arrives."""
 
-    def __init__(self, own: tally_module.OrganisationTally) -> None:
-        self._own = own
-        self._booked = 0
+    def __init__(
+        self, organisation_tally: tally_module.OrganisationTally
+    ) -> None:
+        self._organisation_tally = organisation_tally
+        self._counted_tokens = 0
         self._last_at: float | None = None
         self._is_waiting = True
 
@@ -273,23 +277,25 @@
             return
         now = time.monotonic()
         if self._last_at is not None:
-            self._own.token_gap.record((now - self._last_at) / count)
+            self._organisation_tally.token_gap.record(
+                (now - self._last_at) / count
+            )
         self._last_at = now
-        self._leave_queue()
-        self._booked += count
-        self._own.tokens += count
+        self._end_wait()
+        self._counted_tokens += count
+        self._organisation_tally.tokens += count
 
     def finish(self, answered: callers.Answered) -> None:
         """Count the tokens in ``usage`` that the stream did not show."""
-        self._leave_queue()
+        self._end_wait()
         total = answered.prompt_tokens + answered.completion_tokens
         if total:
-            self._own.tokens += total - self._booked
+            self._organisation_tally.tokens += total - self._counted_tokens
 
-    def _leave_queue(self) -> None:
+    def _end_wait(self) -> None:
         if self._is_waiting:
             self._is_waiting = False
-            self._own.waiting_count -= 1
+            self._organisation_tally.waiting_count -= 1
 
 
 def make_prefix(profile: Profile) -> str:
@@ -298,6 +304,6 @@
     words = [profile.name]
     size = len(profile.name)
     while size < profile.prefix_characters:
-        words.append(rng.choice(_WORDS_OF_PREFIX))
+        words.append(rng.choice(_PREFIX_WORDS))
         size += len(words[-1]) + 1
     return " ".join(words)
--- a/packages/daisypick_lab/src/daisypick_lab/memory_store.py
+++ b/packages/daisypick_lab/src/daisypick_lab/memory_store.py
@@ -66,10 +66,10 @@
         return result
 
     def _apply(self, call: actions.StoreCall) -> Result:
-        held = self._object_by_name.get(call.name)
+        stored_object = self._object_by_name.get(call.name)
         if isinstance(call, actions.Read):
-            return held or _fail(codes.NOT_FOUND, f"name: {call.name}")
-        version = held.version if held else None
+            return stored_object or _fail(codes.NOT_FOUND, f"name: {call.name}")
+        version = stored_object.version if stored_object else None
         if version != call.if_version:
             return _fail(codes.PLATFORM_CONFLICT, f"name: {call.name}")
         if isinstance(call, actions.Delete):
--- a/packages/daisypick_lab/src/daisypick_lab/trouble.py
+++ b/packages/daisypick_lab/src/daisypick_lab/trouble.py
@@ -1,8 +1,8 @@
 """Fault scenarios for an embedded fleet under load.
 
 Each scenario is a function that injects faults into the fleet, with pauses in
-between, and is registered by its name. ``endure`` runs one of them under load
-and returns the verdict on all responses.
+between, and is registered by its name. ``run_scenario`` runs one of them under
+load and returns the verdict on all responses.
 
 Examples:
     >>> "platform_outage" in by_name
@@ -22,16 +22,16 @@
 from daisypick_standins.plain import faults as plain_faults
 from daisypick_standins.platform import faults as platform_faults
 
-Trouble = Callable[[embedded.EmbeddedFleet], None]
+FaultScenario = Callable[[embedded.EmbeddedFleet], None]
 
-by_name: dict[str, Trouble] = {}
+by_name: dict[str, FaultScenario] = {}
 
 _ROUNDS = 2
-_PAUSE = 0.1
+_PAUSE_SECONDS = 0.1
 _FINISH_SECONDS = 60.0
 
 
-class Endured(typing.NamedTuple):
+class ScenarioResult(typing.NamedTuple):
     """Result of a fault scenario.
 
     Attributes:
@@ -45,17 +45,19 @@
     is_done: bool
 
 
-def register(name: str) -> Callable[[Trouble], Trouble]:
+def register(name: str) -> Callable[[FaultScenario], FaultScenario]:
     """Return a decorator that registers a scenario under a name."""
 
-    def _add(trouble: Trouble) -> Trouble:
-        by_name[name] = trouble
-        return trouble
+    def _add(scenario: FaultScenario) -> FaultScenario:
+        by_name[name] = scenario
+        return scenario
 
     return _add
 
 
-def endure(name: str, *, shape: shapes.Shape, seed: int) -> Endured:
+def run_scenario(
+    name: str, *, shape: shapes.Shape, seed: int
+) -> ScenarioResult:
     """Run a fault scenario under load.
 
     Args:
@@ -72,12 +74,12 @@
             seed=seed,
         )
         generator.start()
-        gevent.sleep(_PAUSE)
+        gevent.sleep(_PAUSE_SECONDS)
         by_name[name](fleet)
-        gevent.sleep(_PAUSE)
+        gevent.sleep(_PAUSE_SECONDS)
         is_done = generator.stop(_FINISH_SECONDS)
         verdict = generator.tally.verdict(fleet.runs_by_marker())
-        return Endured(generator.tally, verdict, is_done)
+        return ScenarioResult(generator.tally, verdict, is_done)
     finally:
         fleet.stop()
 
@@ -87,9 +89,9 @@
     """Respond with 503, then not at all, with recovery after each."""
     for outage in (platform_faults.UNAVAILABLE, platform_faults.SILENT):
         fleet.platform.set_faults(platform_faults.Faults(outage=outage))
-        gevent.sleep(3 * _PAUSE)
+        gevent.sleep(3 * _PAUSE_SECONDS)
         fleet.platform.set_faults(platform_faults.Faults())
-        gevent.sleep(_PAUSE)
+        gevent.sleep(_PAUSE_SECONDS)
 
 
 @register("platform_answers_lost")
@@ -97,7 +99,7 @@
     """Lose responses to writes that took effect, in each possible way."""
     for fault in ("lose_answers", "server_errors", "abort_writes"):
         fleet.platform.set_faults(platform_faults.Faults(**{fault: 3}))
-        gevent.sleep(2 * _PAUSE)
+        gevent.sleep(2 * _PAUSE_SECONDS)
     fleet.platform.set_faults(platform_faults.Faults())
 
 
@@ -107,7 +109,7 @@
     engine = next(iter(fleet.engines.values()))
     for _ in range(_ROUNDS):
         engine.set_faults(engine_faults.Faults(break_off=1, fail=1))
-        gevent.sleep(4 * _PAUSE)
+        gevent.sleep(4 * _PAUSE_SECONDS)
 
 
 @register("engines_turn_cold")
@@ -115,7 +117,7 @@
     """Turn engines cold one after another, with unchanged boot ids."""
     for engine in fleet.engines.values():
         engine.set_faults(engine_faults.Faults(turn_cold=True))
-        gevent.sleep(_PAUSE)
+        gevent.sleep(_PAUSE_SECONDS)
 
 
 @register("engine_crashes")
@@ -123,7 +125,7 @@
     """Crash engines: all running requests fail and the engine restarts."""
     for engine in list(fleet.engines.values())[:2]:
         engine.set_faults(engine_faults.Faults(crash=True))
-        gevent.sleep(3 * _PAUSE)
+        gevent.sleep(3 * _PAUSE_SECONDS)
 
 
 @register("plain_service_loses_answers")
@@ -132,7 +134,7 @@
     for fault in ("lose", "half", "fail", "refuse"):
         for service in fleet.plain_services.values():
             service.set_faults(plain_faults.Faults(**{fault: 2}))
-        gevent.sleep(2 * _PAUSE)
+        gevent.sleep(2 * _PAUSE_SECONDS)
 
 
 @register("data_centres_out_and_in")
@@ -140,7 +142,7 @@
     """Take the data centres out of service and in again, one by one."""
     for name in fleet.shape.data_centres:
         fleet.set_data_centre(name, is_in=False)
-        gevent.sleep(_PAUSE)
+        gevent.sleep(_PAUSE_SECONDS)
         fleet.set_data_centre(name, is_in=True)
 
 
@@ -152,7 +154,7 @@
     """
     for names in (fleet.engines, fleet.plain_services):
         fleet.restart_agent(next(iter(names)))
-        gevent.sleep(_PAUSE)
+        gevent.sleep(_PAUSE_SECONDS)
 
 
 @register("agents_drain")
--- a/packages/daisypick_lab/tests/processes/process_fleet.py
+++ b/packages/daisypick_lab/tests/processes/process_fleet.py
@@ -26,7 +26,7 @@
 CALLER_KEY = "caller-key-of-union"
 FLEET_KEY = "fleet-key-of-tests"
 OPERATOR_KEY = "operator-key-of-tests"
-PATIENCE = 30.0
+TIMEOUT_SECONDS = 30.0
 
 
 class Daemon:
@@ -57,7 +57,7 @@
         self._process.send_signal(number)
 
     @property
-    def is_over(self):
+    def has_exited(self):
         return self._process.poll() is not None
 
     def stop(self):
@@ -157,7 +157,7 @@
             "X-Marker": marker,
             **({"Idempotency-Key": key} if key else {}),
         }
-        answer = client.ClientPool(timeout=PATIENCE).request(
+        answer = client.ClientPool(timeout=TIMEOUT_SECONDS).request(
             self.routers[router].address,
             method,
             f"/services/desk{path}",
@@ -182,6 +182,6 @@
 
 def wait_until(condition):
     """Wait until a condition holds; fail if it does not in time."""
-    with gevent.Timeout(PATIENCE):
+    with gevent.Timeout(TIMEOUT_SECONDS):
         while not condition():
             gevent.sleep(0.02)
--- a/packages/daisypick_lab/tests/processes/test_kills_and_freezes.py
+++ b/packages/daisypick_lab/tests/processes/test_kills_and_freezes.py
@@ -100,8 +100,8 @@
         status, body = call.get()
         assert (status, body["marker"]) == (201, f"t{n}")
         assert fleet.runs(f"t{n}") == 1
-    process_fleet.wait_until(lambda: agent.is_over)
-    process_fleet.wait_until(lambda: fleet.routers[0].is_over)
+    process_fleet.wait_until(lambda: agent.has_exited)
+    process_fleet.wait_until(lambda: fleet.routers[0].has_exited)
 
 
 def test_all_agents_of_a_data_centre_restart_during_an_outage(fleet):
--- a/packages/daisypick_lab/tests/test_gates_and_dispatchers.py
+++ b/packages/daisypick_lab/tests/test_gates_and_dispatchers.py
@@ -43,8 +43,8 @@
         self.requests = {}
         self.starts = collections.Counter()
         self.answers = collections.Counter()
-        self.said_not_run = set()
-        self.route(
+        self.reported_not_run = set()
+        self.perform_router_actions(
             self.dispatcher.set_agents(
                 [
                     dispatcher.AgentAddress(
@@ -66,16 +66,16 @@
             limit=concurrency.ConcurrencyLimit(slots=1, cold_slots=1),
         )
 
-    def route(self, due):
+    def perform_router_actions(self, due):
         for action in due:
             if isinstance(action, actions.Fail):
                 self.answers[action.request_id] += 1
                 if action.failure.ran == codes.RAN_NO:
-                    self.said_not_run.add(action.request_id)
+                    self.reported_not_run.add(action.request_id)
             else:
                 self.to_agents.append(action)
 
-    def gate_did(self, name, due):
+    def perform_gate_actions(self, name, due):
         for action in due:
             load = self.gate_by_name[name].load()
             attempt = action.attempt
@@ -102,7 +102,7 @@
             is_repeatable=is_repeatable,
         )
         self.requests[request.request_id] = request
-        self.route(self.dispatcher.submit(request, self.now))
+        self.perform_router_actions(self.dispatcher.submit(request, self.now))
 
     @stateful.precondition(lambda self: self.to_agents)
     @stateful.rule(count=strategies.integers(1, 4))
@@ -126,7 +126,9 @@
         gate = self.gate_by_name[action.agent]
         attempt = action.attempt
         if isinstance(action, actions.Dispatch):
-            self.gate_did(action.agent, gate.offer(attempt, self.now))
+            self.perform_gate_actions(
+                action.agent, gate.offer(attempt, self.now)
+            )
             return
         if attempt.incarnation != gate.incarnation:
             # As the sender does: a restarted agent does not know the attempt.
@@ -136,7 +138,7 @@
         status, due = gate.withdraw(
             attempt.attempt_id, self.now, epoch=attempt.epoch
         )
-        self.gate_did(action.agent, due)
+        self.perform_gate_actions(action.agent, due)
         if status.state == attempts.BARRED:
             event = (action.agent, gate.load(), "returned", attempt)
             self.to_router.append((*event, (WITHDRAWN,)))
@@ -148,14 +150,16 @@
         name, load, event, attempt, arguments = self.to_router[position]
         if not is_doubled:
             del self.to_router[position]
-        self.route(self.dispatcher.record_load(name, load, self.now))
+        self.perform_router_actions(
+            self.dispatcher.record_load(name, load, self.now)
+        )
         sent_attempts = self.dispatcher._sender.sent_attempts
         is_open = sent_attempts.find(attempt.attempt_id) is not None
         handle = getattr(self.dispatcher, event)
         due = handle(attempt.attempt_id, *arguments, self.now)
         if event == "finished" and is_open:
             self.answers[attempt.request_id] += 1
-        self.route(due)
+        self.perform_router_actions(due)
 
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(position=positions, is_healthy=strategies.booleans())
@@ -169,15 +173,19 @@
         if not is_healthy:
             event, arguments = "broken", (BROKEN,)
         self.to_router.append((name, gate.load(), event, attempt, arguments))
-        self.gate_did(name, due)
+        self.perform_gate_actions(name, due)
 
     def drain(self, name):
         gate = self.gate_by_name[name]
-        self.gate_did(name, gate.drain(admission.VM_LEAVING, self.now))
+        self.perform_gate_actions(
+            name, gate.drain(admission.VM_LEAVING, self.now)
+        )
 
     def undrain(self, name):
         gate = self.gate_by_name[name]
-        self.gate_did(name, gate.undrain(admission.VM_LEAVING, self.now))
+        self.perform_gate_actions(
+            name, gate.undrain(admission.VM_LEAVING, self.now)
+        )
 
     @stateful.rule(
         name=agent_names,
@@ -191,7 +199,9 @@
         load = self.gate_by_name[peer].load()
         if name != peer:
             gate = self.gate_by_name[name]
-            self.gate_did(name, gate.note_idle(peer, load, self.now))
+            self.perform_gate_actions(
+                name, gate.note_idle(peer, load, self.now)
+            )
 
     def restart(self, name):
         self.restarts += 1
@@ -206,9 +216,9 @@
     @stateful.rule(seconds=strategies.sampled_from([0.01, 0.5, 5.0]))
     def wait(self, seconds):
         self.now += seconds
-        self.route(self.dispatcher.tick(self.now))
+        self.perform_router_actions(self.dispatcher.tick(self.now))
         for name, gate in self.gate_by_name.items():
-            self.gate_did(name, gate.tick(self.now))
+            self.perform_gate_actions(name, gate.tick(self.now))
 
     @stateful.invariant()
     def runs_at_most_once_and_answers_are_true(self):
@@ -216,7 +226,7 @@
             assert self.answers[request_id] <= 1
             if not request.is_repeatable:
                 assert self.starts[request_id] <= 1
-            if request_id in self.said_not_run:
+            if request_id in self.reported_not_run:
                 assert self.starts[request_id] == 0
 
     def teardown(self):
--- a/packages/daisypick_lab/tests/test_trouble.py
+++ b/packages/daisypick_lab/tests/test_trouble.py
@@ -9,9 +9,9 @@
 from daisypick_lab import shapes
 from daisypick_lab import trouble
 
-UNKNOWN = {codes.OUTCOME_UNKNOWN.number, codes.KEY_IN_PROGRESS.number}
-OF_SERVICE = {
-    *UNKNOWN,
+UNKNOWN_OUTCOMES = {codes.OUTCOME_UNKNOWN.number, codes.KEY_IN_PROGRESS.number}
+SERVICE_FAILURES = {
+    *UNKNOWN_OUTCOMES,
     codes.ANSWER_BROKEN.number,
     codes.ENGINE_FAILED.number,
     0,  # The response of the service itself, forwarded.
@@ -34,20 +34,20 @@
         ("platform_outage", {codes.STORE_UNAVAILABLE.number}),
         ("platform_answers_lost", {codes.STORE_UNAVAILABLE.number}),
         ("engine_breaks_answers", set()),
-        ("plain_service_loses_answers", OF_SERVICE),
+        ("plain_service_loses_answers", SERVICE_FAILURES),
         ("data_centres_out_and_in", set()),
         ("agents_drain", set()),
     ],
 )
 def test_invariants_hold_under_faults(name, allowed):
-    endured = trouble.endure(name, shape=SHAPE, seed=1)
-    assert endured.verdict.is_clean, endured.verdict
-    assert endured.is_done
+    result = trouble.run_scenario(name, shape=SHAPE, seed=1)
+    assert result.verdict.is_clean, result.verdict
+    assert result.is_done
     refused = {
         code
-        for own in endured.tally.by_organisation.values()
+        for own in result.tally.by_organisation.values()
         for code in own.refusals_by_code
     }
     assert refused <= allowed
-    outcomes = endured.tally.by_phase[""].outcomes
+    outcomes = result.tally.by_phase[""].outcomes
     assert outcomes["whole"] > 20
