--- a/packages/daisypick_core/src/daisypick_core/configuration/model.py
+++ b/packages/daisypick_core/src/daisypick_core/configuration/model.py
@@ -40,7 +40,7 @@
 
     Attributes:
         method: HTTP method, or ``*`` for all.
-        path: Prefix of the path, from ``/``.
+        path: Prefix of the path, beginning with ``/``.
     """
 
     method: str
--- a/tools/write_configuration_page.py
+++ b/tools/write_configuration_page.py
@@ -51,7 +51,7 @@
 
     Examples:
         >>> read_descriptions(model.Call)["path"]
-        'Prefix of the path, from ``/``.'
+        'Prefix of the path, beginning with ``/``.'
     """
     doc = inspect.getdoc(entry_type) or ""
     description_by_name: dict[str, str] = {}
