--- a/packages/daisypick_node/src/daisypick_node/logs.py
+++ b/packages/daisypick_node/src/daisypick_node/logs.py
@@ -1,6 +1,6 @@
 """Structured logs by ``eliot``: short sentences, one fixed prefix per part.
 
-Keys and texts of callers are never logged. A request is identified by its id,
+Keys and callers' texts are never logged. A request is identified by its id,
 an organisation by its name.
 """
 
