--- a/packages/daisypick_lab/src/daisypick_lab/callers.py
+++ b/packages/daisypick_lab/src/daisypick_lab/callers.py
@@ -33,7 +33,7 @@
         marker: Name of this call, unique in a run.
         prompt: Prompt without the marker, which is appended to it.
         tokens: Length of the response.
-        max_tokens: Length hint, which overestimates ``tokens``.
+        max_tokens: Length hint, which differs from ``tokens`` by some factor.
         is_stream: Whether the response is streamed.
     """
 
--- a/packages/daisypick_lab/src/daisypick_lab/dispatch_measure.py
+++ b/packages/daisypick_lab/src/daisypick_lab/dispatch_measure.py
@@ -98,7 +98,7 @@
         fleet = dispatch_model.Fleet(
             sizes=sizes, cold_slots=8, announces_idle=announces_idle, seed=SEED
         )
-        fleet.exchange_loads()
+        fleet.report_loads()
         arrivals = Arrivals(fleet=fleet, routers=list(fleet.router_by_name))
         arrivals.at_rate(0.95 * 480 / 1.33, 40.0)
         fleet.clock.run(10.0)
--- a/packages/daisypick_lab/src/daisypick_lab/dispatch_model.py
+++ b/packages/daisypick_lab/src/daisypick_lab/dispatch_model.py
@@ -454,7 +454,7 @@
         for router in self.router_by_name.values():
             router.configure(configuration)
 
-    def exchange_loads(self) -> None:
+    def report_loads(self) -> None:
         """Report the load of each agent to each router once.
 
         Routers of a fleet that has run for a while know all agents.
