--- a/packages/daisypick_node/src/daisypick_node/agent/attempt_routes.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/attempt_routes.py
@@ -35,7 +35,7 @@
 HEARTBEAT_SECONDS = 1.0
 
 
-class Naming(typing.TypedDict):
+class AttemptReference(typing.TypedDict):
     """Identifies an attempt and the epoch in which it was sent."""
 
     attempt_id: str
@@ -141,11 +141,11 @@
             response.last_read_at = self._clock()
 
     def _withdraw(self, call: routes.Call) -> routes.Reply:
-        naming = _read_naming(call)
-        if failure_value.is_failure(naming):
-            return routes.reply_failure(naming)
+        reference = _read_reference(call)
+        if failure_value.is_failure(reference):
+            return routes.reply_failure(reference)
         status = self._driver.withdraw(
-            naming["attempt_id"], epoch=naming["epoch"]
+            reference["attempt_id"], epoch=reference["epoch"]
         )
         return routes.reply_json(
             Status(
@@ -156,10 +156,10 @@
         )
 
     def _cancel(self, call: routes.Call) -> routes.Reply:
-        naming = _read_naming(call)
-        if failure_value.is_failure(naming):
-            return routes.reply_failure(naming)
-        self._driver.cancel(naming["attempt_id"])
+        reference = _read_reference(call)
+        if failure_value.is_failure(reference):
+            return routes.reply_failure(reference)
+        self._driver.cancel(reference["attempt_id"])
         return routes.reply_json({"load": self._driver.gate.load()})
 
     def _note_idle(self, call: routes.Call) -> routes.Reply:
@@ -171,8 +171,10 @@
         return routes.reply_json({})
 
 
-def _read_naming(call: routes.Call) -> Naming | failure_value.Failure:
-    return _read_message(call, Naming)
+def _read_reference(
+    call: routes.Call,
+) -> AttemptReference | failure_value.Failure:
+    return _read_message(call, AttemptReference)
 
 
 def _read_message(
--- a/packages/daisypick_node/src/daisypick_node/router/driver.py
+++ b/packages/daisypick_node/src/daisypick_node/router/driver.py
@@ -296,8 +296,10 @@
         self._note(request_id, event, attempt_id=attempt_id)
 
 
-def _to_naming(attempt: attempt_message.Attempt) -> attempt_routes.Naming:
-    return attempt_routes.Naming(
+def _to_naming(
+    attempt: attempt_message.Attempt,
+) -> attempt_routes.AttemptReference:
+    return attempt_routes.AttemptReference(
         attempt_id=attempt.attempt_id, epoch=attempt.epoch
     )
 
--- a/packages/daisypick_node/src/daisypick_node/router/sender.py
+++ b/packages/daisypick_node/src/daisypick_node/router/sender.py
@@ -205,7 +205,7 @@
             self.agent,
             "POST",
             attempt_routes.WITHDRAW,
-            attempt_routes.Naming(
+            attempt_routes.AttemptReference(
                 attempt_id=attempt_id, epoch=self.attempt.epoch
             ),
         )
