--- a/packages/daisypick_node/src/daisypick_node/process.py
+++ b/packages/daisypick_node/src/daisypick_node/process.py
@@ -83,7 +83,7 @@
             peers=self.peers,
             is_watcher=self.follower.is_watcher,
             members=lambda: self.follower.directory.members(self.clock()),
-            take_leaving=lambda vms: self.follower.directory.set_leaving(vms),
+            set_leaving=lambda vms: self.follower.directory.set_leaving(vms),
             on_leaving=self.on_leaving,
             rng=random.Random(),
         )
--- a/packages/daisypick_node/src/daisypick_node/vm_watch.py
+++ b/packages/daisypick_node/src/daisypick_node/vm_watch.py
@@ -38,7 +38,7 @@
         peers: peers_module.Peers,
         is_watcher: Callable[[], bool],
         members: Callable[[], list[member_directory.Member]],
-        take_leaving: Callable[[frozenset[str]], None],
+        set_leaving: Callable[[frozenset[str]], None],
         on_leaving: Callable[[], None],
         rng: random.Random,
     ) -> None:
@@ -46,7 +46,7 @@
         self._peers = peers
         self._is_watcher = is_watcher
         self._members = members
-        self._take_leaving = take_leaving
+        self._set_leaving = set_leaving
         self._on_leaving = on_leaving
         self._rng = rng
         self._to_notify: set[str] = set()
@@ -62,9 +62,9 @@
         while True:
             gevent.sleep(LIST_SECONDS * (0.5 + self._rng.random()))
             if self._is_watcher():
-                self.look()
+                self.poll()
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Poll the list once and notify the processes on leaving VMs."""
         vms = self._platform.list_vms()
         if failure_value.is_failure(vms):
@@ -80,7 +80,7 @@
             for member in self._members()
             if _runs_on(member.address, leaving)
         )
-        self._take_leaving(leaving)
+        self._set_leaving(leaving)
         for address in sorted(self._to_notify - self._notified):
             self._notify(address)
 
--- a/packages/daisypick_node/tests/test_shutdown.py
+++ b/packages/daisypick_node/tests/test_shutdown.py
@@ -94,5 +94,5 @@
     router.follower.directory.record_member(member, router.clock())
     for state in ("leaving", "live"):
         fleet.platform.vms.set(vms.Vm(address, "dc0", state), 0.0)
-        router.vm_watch.look()
+        router.vm_watch.poll()
         assert agent.gate.admission.reasons == (admission.VM_LEAVING,)
