--- a/packages/daisypick_node/src/daisypick_node/agent/process.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/process.py
@@ -121,7 +121,7 @@
 
     def on_start(self) -> None:
         """Register metrics for the load and the organisations' tokens."""
-        self.metrics.watch_organisations(
+        self.metrics.add_organisation_gauge(
             "service_tokens",
             "Tokens served by organisation.",
             lambda: {
@@ -129,13 +129,13 @@
                 for name, account in self.order.accounts().items()
             },
         )
-        self.metrics.watch(
+        self.metrics.add_gauge(
             "running", "Attempts that run.", lambda: self.gate.load().running
         )
-        self.metrics.watch(
+        self.metrics.add_gauge(
             "waiting", "Attempts that wait.", lambda: self.gate.load().waiting
         )
-        self.metrics.watch(
+        self.metrics.add_gauge(
             "limit", "Attempts that may run.", lambda: self.gate.load().limit
         )
 
--- a/packages/daisypick_node/src/daisypick_node/metrics.py
+++ b/packages/daisypick_node/src/daisypick_node/metrics.py
@@ -51,7 +51,7 @@
         self._meter = meter
         self._part = part
 
-    def watch(
+    def add_gauge(
         self, name: str, description: str, read: Callable[[], float]
     ) -> None:
         """Register a gauge whose value is read at each scrape."""
@@ -61,7 +61,7 @@
             description=description,
         )
 
-    def watch_total(
+    def add_counter(
         self, name: str, description: str, read: Callable[[], float]
     ) -> None:
         """Register a monotonic counter whose value is read at each scrape."""
@@ -71,7 +71,7 @@
             description=description,
         )
 
-    def watch_organisations(
+    def add_organisation_gauge(
         self,
         name: str,
         description: str,
--- a/packages/daisypick_node/src/daisypick_node/process.py
+++ b/packages/daisypick_node/src/daisypick_node/process.py
@@ -202,25 +202,25 @@
 
     def _register_metrics(self) -> None:
         traffic = self.peers.traffic
-        self.metrics.watch(
+        self.metrics.add_gauge(
             "generation",
             "Generation of the configuration in force.",
             lambda: self.generation,
         )
-        self.metrics.watch(
+        self.metrics.add_gauge(
             "ready", "1 if the process takes work.", lambda: self.is_ready()
         )
-        self.metrics.watch_total(
+        self.metrics.add_counter(
             "control_messages",
             "Control exchanges, sent and received.",
             lambda: traffic.messages,
         )
-        self.metrics.watch_total(
+        self.metrics.add_counter(
             "control_bytes",
             "Bytes of control exchanges, both directions.",
             lambda: traffic.bytes,
         )
-        self.metrics.watch_total(
+        self.metrics.add_counter(
             "cpu_seconds", "Processor time used.", time.process_time
         )
 
--- a/packages/daisypick_node/src/daisypick_node/router/accounting.py
+++ b/packages/daisypick_node/src/daisypick_node/router/accounting.py
@@ -27,7 +27,7 @@
         )
         self.refusals_by_code: collections.Counter[int] = collections.Counter()
         self.request_count = 0
-        metrics.watch_organisations(
+        metrics.add_organisation_gauge(
             "service_tokens",
             "Tokens served by organisation.",
             lambda: self.tokens_by_organisation,
--- a/packages/daisypick_node/src/daisypick_node/router/process.py
+++ b/packages/daisypick_node/src/daisypick_node/router/process.py
@@ -93,10 +93,10 @@
     def on_start(self) -> None:
         """Register the metrics of the backlog."""
         dispatcher = self.driver.dispatcher
-        self.metrics.watch(
+        self.metrics.add_gauge(
             "queued", "Requests that wait.", lambda: dispatcher.queued_count
         )
-        self.metrics.watch(
+        self.metrics.add_gauge(
             "in_flight",
             "Requests that are out at agents.",
             lambda: dispatcher.in_flight_count,
