--- a/packages/daisypick_node/src/daisypick_node/agent/response_replay.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/response_replay.py
@@ -78,7 +78,7 @@
                 frames = _remote_frames(http_response)
                 return self._copy_frames(frames, response, fallback)
             except (*client.CALL_ERRORS, EOFError, msgspec.MsgspecError):
-                self._pool.forget(holder.agent)
+                self._pool.close_idle(holder.agent)
             finally:
                 client.abandon(http_response)
         return _unknown("agent: the answer's holder cannot be reached")
--- a/packages/daisypick_node/src/daisypick_node/agent/runner.py
+++ b/packages/daisypick_node/src/daisypick_node/agent/runner.py
@@ -86,7 +86,7 @@
         try:
             http_response = self._send(work, server)
         except client.CALL_ERRORS as error:
-            self._pool.forget(server)
+            self._pool.close_idle(server)
             return self._fail(response, _call_failure(error))
         except ValueError as error:
             # The HTTP client could not build the request: nothing was sent,
--- a/packages/daisypick_node/src/daisypick_node/http/client.py
+++ b/packages/daisypick_node/src/daisypick_node/http/client.py
@@ -108,7 +108,7 @@
             self._client_by_address[address] = client
         return client.request(method, path, body=body, headers=headers or {})
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address.
 
         Connections of the same age tend to stop responding together, when a
@@ -122,12 +122,12 @@
     def keep_only(self, addresses: frozenset[str]) -> None:
         """Close the idle connections to all other addresses."""
         for address in set(self._client_by_address) - addresses:
-            self.forget(address)
+            self.close_idle(address)
 
     def close(self) -> None:
         """Close all idle connections."""
         for address in list(self._client_by_address):
-            self.forget(address)
+            self.close_idle(address)
 
     def _make_client(self, address: Address) -> geventhttpclient.HTTPClient:
         options: dict[str, typing.Any] = {}
--- a/packages/daisypick_node/src/daisypick_node/http/peers.py
+++ b/packages/daisypick_node/src/daisypick_node/http/peers.py
@@ -68,7 +68,7 @@
             )
             response_body = bytes(response.read())
         except client.CALL_ERRORS as error:
-            self._pool.forget(address)
+            self._pool.close_idle(address)
             return failure_value.Failure(
                 code=codes.PEER_UNREACHABLE,
                 reason=f"address: {address}: {type(error).__name__}",
--- a/packages/daisypick_node/src/daisypick_node/router/sender.py
+++ b/packages/daisypick_node/src/daisypick_node/router/sender.py
@@ -168,7 +168,7 @@
     def _resume(self) -> bool:
         """Reconnect to the response; report the outcome if that fails."""
         self._close()
-        self._pool.forget(self.agent)
+        self._pool.close_idle(self.agent)
         is_repeatable = self.attempt.is_repeatable
         for delay in (
             REPEATABLE_RETRY_DELAYS
