--- a/packages/daisypick_node/tests/agent/test_tally_service.py
+++ b/packages/daisypick_node/tests/agent/test_tally_service.py
@@ -11,7 +11,7 @@
     ]
     subject = fleet_module.Fleet(engines)
     for agent in subject.agents:
-        for number, one in enumerate(subject.wires):
+        for number, one in enumerate(subject.proxies):
             member = member_directory.Member(
                 one.address, member_directory.AGENT, f"dc{number}"
             )
@@ -49,8 +49,8 @@
     )
 
     head = nodes[0].heads[0]
-    addresses = [one.address for one in fleet.wires]
-    fleet.wires[addresses.index(head)].is_down = True
+    addresses = [one.address for one in fleet.proxies]
+    fleet.proxies[addresses.index(head)].is_down = True
     fleet.agents[1].order.charge("studio", 5000.0)
     wait_until_picked(fleet, "farm")
     assert fleet.agents[0].describe()["tally"]["agents"] >= 2
--- a/packages/daisypick_node/tests/fleet.py
+++ b/packages/daisypick_node/tests/fleet.py
@@ -7,7 +7,7 @@
 import gevent
 from gevent import pywsgi
 from gevent import server
-import wire
+import tcp_proxy
 
 from daisypick_core.configuration import model
 from daisypick_node import settings as settings_module
@@ -112,7 +112,9 @@
         self.engines = engines
         self.agent_settings = agent_settings
         self.agents = [self.make_agent(n) for n in range(len(engines))]
-        self.wires = [wire.Wire(agent.address) for agent in self.agents]
+        self.proxies = [
+            tcp_proxy.TcpProxy(agent.address) for agent in self.agents
+        ]
         self.routers = [self.make_router() for _ in range(router_count)]
         self.out = set()
         self.generation = 0
@@ -188,7 +190,7 @@
                     service=engine.service,
                     data_centre=f"dc{n}",
                     address=engine.address,
-                    agent=self.wires[n].address,
+                    agent=self.proxies[n].address,
                     slots=4,
                     cold_slots=2,
                 )
@@ -208,7 +210,7 @@
     def stop(self):
         for process in self.agents + self.routers:
             process.stop()
-        for part in self.engines + self.wires:
+        for part in self.engines + self.proxies:
             part.stop()
         self.platform.stop()
 
--- a/packages/daisypick_node/tests/wire.py
+++ b/packages/daisypick_node/tests/tcp_proxy.py
@@ -5,10 +5,10 @@
 from gevent import socket
 
 
-class Wire:
+class TcpProxy:
     """Forwards connections to an address, with injected faults.
 
-    ``silent_next`` is the number of next connections that forward nothing.
+    ``connections_to_stall`` is the number of next ones that forward nothing.
     ``silence()`` permanently stops forwarding on the open connections, while
     new ones work; ``cut()`` closes the open ones; ``is_down`` refuses new ones.
     """
@@ -18,7 +18,7 @@
         self._open = []
         self._silent = set()
         self.is_down = False
-        self.silent_next = 0
+        self.connections_to_stall = 0
         self.connection_count = 0
         self._server = server.StreamServer(("127.0.0.1", 0), self._accept)
         self._server.start()
@@ -35,8 +35,8 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         pair = (near, far)
         self._open.append(pair)
-        if self.silent_next:
-            self.silent_next -= 1
+        if self.connections_to_stall:
+            self.connections_to_stall -= 1
             self._silent.add(pair)
         gevent.joinall(
             [
--- a/packages/daisypick_node/tests/test_key_retries.py
+++ b/packages/daisypick_node/tests/test_key_retries.py
@@ -37,7 +37,7 @@
     # server would idle while the bookings of other callers wait.
     _book(fleet, "k1")
     views = fleet.routers[0].driver.dispatcher
-    view = views._directory.find(fleet.wires[0].address)
+    view = views._directory.find(fleet.proxies[0].address)
     failures = view.failures
     for _ in range(5):
         assert _book(fleet, "k1")["ran"] == "unknown"
--- a/packages/daisypick_node/tests/test_shutdown.py
+++ b/packages/daisypick_node/tests/test_shutdown.py
@@ -89,7 +89,7 @@
     engine = fleet_module.make_engine(fleet_module.answer_stream("a"))
     fleet = make_fleet(engine)
     agent, router = fleet.agents[0], fleet.routers[0]
-    address = fleet.wires[0].address
+    address = fleet.proxies[0].address
     member = member_directory.Member(address, member_directory.AGENT, "dc0")
     router.follower.directory.record_member(member, router.clock())
     for state in ("leaving", "live"):
--- a/packages/daisypick_node/tests/test_whole_answers.py
+++ b/packages/daisypick_node/tests/test_whole_answers.py
@@ -57,10 +57,10 @@
     fleet = make_fleet(fleet_module.make_engine(answer))
     response = fleet.call("POST", fleet_module.CHAT, fleet_module.BODY)
     assert read_first(response) == b"data: one\n\n"
-    before = fleet.wires[0].connection_count
-    getattr(fleet.wires[0], fault)()
+    before = fleet.proxies[0].connection_count
+    getattr(fleet.proxies[0], fault)()
     fleet_module.wait_until(
-        lambda: fleet.wires[0].connection_count > before, seconds=8.0
+        lambda: fleet.proxies[0].connection_count > before, seconds=8.0
     )
     answer.go_on.set()
     assert response.read() == b"data: two\n\ndata: [DONE]\n\n"
@@ -81,9 +81,9 @@
     fleet = make_fleet(fleet_module.make_engine(_book, service="desk"))
     call = gevent.spawn(fleet.call, "POST", "/services/desk/bookings", b"7")
     fleet_module.wait_until(lambda: fleet.engines[0].calls)
-    before = fleet.wires[0].connection_count
-    fleet.wires[0].silence()
-    fleet_module.wait_until(lambda: fleet.wires[0].connection_count > before)
+    before = fleet.proxies[0].connection_count
+    fleet.proxies[0].silence()
+    fleet_module.wait_until(lambda: fleet.proxies[0].connection_count > before)
     go_on.set()
     assert call.get().read() == b"booked"
     assert len(fleet.engines[0].calls) == 1
@@ -97,7 +97,7 @@
         fleet_module.answer_plain(b"booked"), service="desk"
     )
     fleet = make_fleet(engine)
-    fleet.wires[0].silent_next = 1
+    fleet.proxies[0].connections_to_stall = 1
     answer = fleet.call("POST", "/services/desk/bookings", b"7")
     assert (answer.status_code, answer.read()) == (200, b"booked")
     assert len(engine.calls) == 1
@@ -164,7 +164,7 @@
     fleet.agents[0].stop()
     fleet.agents[0] = fleet.make_agent(0, listen=address)
     fleet.configure()
-    fleet.wires[0].cut()
+    fleet.proxies[0].cut()
     problem = json.loads(call.get().read())
     assert (problem["ran"], problem["code"]) == ("unknown", 4002)
     assert len(fleet.engines[0].calls) == 1
