--- a/packages/daisypick_node/tests/fleet.py
+++ b/packages/daisypick_node/tests/fleet.py
@@ -53,7 +53,7 @@
         self._server.stop(timeout=0)
 
 
-class CuttingEngine:
+class DisconnectingEngine:
     """An engine that reads each call, sends ``sends`` and disconnects."""
 
     def __init__(self, service, sends=b""):
--- a/packages/daisypick_node/tests/test_key_retries.py
+++ b/packages/daisypick_node/tests/test_key_retries.py
@@ -7,7 +7,7 @@
 @pytest.fixture
 def fleet():
     # A server that reads each request, sends half a response and disconnects.
-    engine = fleet_module.CuttingEngine(
+    engine = fleet_module.DisconnectingEngine(
         "desk", b"HTTP/1.1 201 Created\r\nContent-Length: 9\r\n\r\nplot"
     )
     subject = fleet_module.Fleet([engine])
--- a/packages/daisypick_node/tests/test_path.py
+++ b/packages/daisypick_node/tests/test_path.py
@@ -127,7 +127,7 @@
     # A caller writes the path of a booking in another form and the connection
     # to the server breaks. Classified as repeatable, the booking would be
     # resent.
-    engine = fleet_module.CuttingEngine("desk")
+    engine = fleet_module.DisconnectingEngine("desk")
     fleet = make_fleet(engine)
     response = fleet.call("POST", f"/services/desk{path}", b"plot 7")
     assert json.loads(response.read())["ran"] == "unknown"
@@ -139,7 +139,7 @@
     # The connection to the server breaks while it handles a booking, which may
     # have taken effect. The caller gets "unknown" and the booking is not
     # resent.
-    engine = fleet_module.CuttingEngine("desk")
+    engine = fleet_module.DisconnectingEngine("desk")
     fleet = make_fleet(engine)
     response = fleet.call("POST", "/services/desk/bookings", b"plot 7")
     problem = json.loads(response.read())
--- a/packages/daisypick_node/tests/test_whole_answers.py
+++ b/packages/daisypick_node/tests/test_whole_answers.py
@@ -108,7 +108,7 @@
     # it runs on another engine, and the caller gets the first event once.
     head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
     engines = [
-        fleet_module.CuttingEngine(
+        fleet_module.DisconnectingEngine(
             "assistant",
             head + b"Content-Length: 99\r\n\r\ndata: one\n\n",
         ),
@@ -124,7 +124,7 @@
     # A request makes each engine that runs it disconnect. Without a limit it
     # would be retried across the fleet and use up the retries of others; it
     # runs four times, then fails.
-    engine = fleet_module.CuttingEngine("assistant")
+    engine = fleet_module.DisconnectingEngine("assistant")
     fleet = make_fleet(engine)
     response = fleet.call("POST", fleet_module.CHAT, fleet_module.BODY)
     assert json.loads(response.read())["ran"] == "unknown"
@@ -136,7 +136,7 @@
     # has already received. The caller must get an error rather than a mixture
     # of two responses that looks valid.
     head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
-    engine = fleet_module.CuttingEngine(
+    engine = fleet_module.DisconnectingEngine(
         "assistant", head + b"Content-Length: 99\r\n\r\ndata: one\n\n"
     )
     other = fleet_module.make_engine(fleet_module.answer_stream("uno", "dos"))
