--- a/packages/daisypick_node/tests/fleet.py
+++ b/packages/daisypick_node/tests/fleet.py
@@ -116,7 +116,7 @@
             tcp_proxy.TcpProxy(agent.address) for agent in self.agents
         ]
         self.routers = [self.make_router() for _ in range(router_count)]
-        self.out = set()
+        self.out_of_service = set()
         self.generation = 0
         self.configure()
 
@@ -174,7 +174,7 @@
             backend_servers_by_name=self._backend_servers(),
             data_centres_by_name={
                 f"dc{n}": model.DataCentre(
-                    name=f"dc{n}", is_in=n not in self.out
+                    name=f"dc{n}", is_in=n not in self.out_of_service
                 )
                 for n in range(len(self.agents))
             },
--- a/packages/daisypick_node/tests/test_at_most_once.py
+++ b/packages/daisypick_node/tests/test_at_most_once.py
@@ -53,7 +53,7 @@
     if fault == "lose_answers":
         fleet.platform.set_faults(faults.Faults(lose_answers=1))
     else:
-        fleet.out = {0}
+        fleet.out_of_service = {0}
         fleet.configure()
     calls = [gevent.spawn(book, fleet, router) for router in (0, 1)]
     fleet_module.wait_until(lambda: runs(fleet) == 1)
@@ -115,13 +115,13 @@
     # books once.
     desk.resume.set()
     fleet.engines[0].stop()
-    fleet.out = {1}
+    fleet.out_of_service = {1}
     fleet.configure()
     call = gevent.spawn(book, fleet)
     fleet_module.wait_until(
         lambda: any(agent.claims.describe()["shards"] for agent in fleet.agents)
     )
-    fleet.out = set()
+    fleet.out_of_service = set()
     fleet.configure()
     response = call.get(timeout=20)
     assert (response.status_code, response.read()) == (200, b"plot 7")
--- a/packages/daisypick_node/tests/test_idle_notifier.py
+++ b/packages/daisypick_node/tests/test_idle_notifier.py
@@ -33,14 +33,14 @@
         fleet_module.make_engine(_held),
         fleet_module.make_engine(fleet_module.answer_stream("other")),
     )
-    fleet.out = {1}
+    fleet.out_of_service = {1}
     fleet.configure()
     calls = [
         gevent.spawn(fleet.call, "POST", fleet_module.CHAT, fleet_module.BODY)
         for _ in range(4)
     ]
     fleet_module.wait_until(lambda: fleet.agents[0].gate.load().waiting == 2)
-    fleet.out = set()
+    fleet.out_of_service = set()
     fleet.configure()
     fleet_module.wait_until(lambda: len(fleet.engines[1].calls) == 2)
     assert fleet.agents[0].gate.load().waiting == 0
--- a/packages/daisypick_node/tests/test_path.py
+++ b/packages/daisypick_node/tests/test_path.py
@@ -90,7 +90,7 @@
         for n in range(2)
     ]
     fleet = make_fleet(*engines)
-    fleet.out = {0}
+    fleet.out_of_service = {0}
     fleet.configure()
     for _ in range(4):
         assert (
--- a/packages/daisypick_node/tests/test_shutdown.py
+++ b/packages/daisypick_node/tests/test_shutdown.py
@@ -67,11 +67,11 @@
         fleet_module.make_engine(fleet_module.answer_stream("other")),
     ]
     fleet = make_fleet(*engines)
-    fleet.out = {1}
+    fleet.out_of_service = {1}
     fleet.configure()
     calls = [gevent.spawn(chat, fleet) for _ in range(4)]
     fleet_module.wait_until(lambda: fleet.agents[0].gate.load().waiting == 2)
-    fleet.out = set()
+    fleet.out_of_service = set()
     fleet.configure()
     drained = gevent.spawn(fleet.agents[0].drain)
     fleet_module.wait_until(lambda: len(engines[1].calls) == 2)
--- a/packages/daisypick_node/tests/test_whole_answers.py
+++ b/packages/daisypick_node/tests/test_whole_answers.py
@@ -39,10 +39,10 @@
 
 def call_first_server(fleet):
     """Send a request to the first server, then enable both servers."""
-    fleet.out = {1}
+    fleet.out_of_service = {1}
     fleet.configure()
     response = fleet.call("POST", fleet_module.CHAT, fleet_module.BODY)
-    fleet.out = set()
+    fleet.out_of_service = set()
     fleet.configure()
     return response
 
