--- a/packages/daisypick_lab/src/daisypick_lab/load.py
+++ b/packages/daisypick_lab/src/daisypick_lab/load.py
@@ -232,7 +232,7 @@
         final = (wrong or whole or answered[-1:])[0]
         self._load.tally.count(self._profile.name, marker, final)
         if all(a.ran == callers.RAN_NO for a in answered):
-            self._load.tally.told_not_run.add(marker)
+            self._load.tally.not_run_markers.add(marker)
 
     def _back_off(self, answered: callers.Answered, attempt: int) -> None:
         if answered.outcome == callers.WHOLE:
--- a/packages/daisypick_lab/src/daisypick_lab/tally.py
+++ b/packages/daisypick_lab/src/daisypick_lab/tally.py
@@ -111,7 +111,7 @@
     Attributes:
         by_organisation: Measurements of each organisation.
         faults: Outcome and reason of each wrong or broken response.
-        told_not_run: Markers of calls whose callers received only "not run".
+        not_run_markers: Markers of calls whose callers received only "not run".
         phase: Name of the current phase.
         by_phase: Measurements of each phase.
     """
@@ -121,7 +121,7 @@
         self.by_phase: dict[str, PhaseTally] = {}
         self.by_organisation: dict[str, OrganisationTally] = {}
         self.faults: list[tuple[str, str]] = []
-        self.told_not_run: set[str] = set()
+        self.not_run_markers: set[str] = set()
 
     def of(self, organisation: str) -> OrganisationTally:
         """Return the tally of an organisation."""
@@ -153,7 +153,7 @@
             runs_by_marker: Number of runs of each call over all backend
                 servers.
         """
-        untrue = [m for m in self.told_not_run if runs_by_marker.get(m)]
+        untrue = [m for m in self.not_run_markers if runs_by_marker.get(m)]
         twice = [
             marker
             for marker, runs in runs_by_marker.items()
--- a/packages/daisypick_lab/tests/test_tally.py
+++ b/packages/daisypick_lab/tests/test_tally.py
@@ -8,7 +8,7 @@
     subject.count("union", "b", callers.Answered(callers.BROKEN, "cut"))
     refused = callers.Answered(callers.REFUSED, "full", code=2001, ran="no")
     subject.count("union", "c", refused)
-    subject.told_not_run = {"c", "d"}
+    subject.not_run_markers = {"c", "d"}
     verdict = subject.verdict({"c": 1, "plain-e": 2, "f": 2})
     assert verdict.wrong == ("union a: other",)
     assert verdict.broken == ("union b: cut",)
