--- a/packages/daisypick_lab/src/daisypick_lab/__init__.py
+++ b/packages/daisypick_lab/src/daisypick_lab/__init__.py
@@ -1,6 +1,6 @@
 """Embedded fleet, load, demo and measurements.
 
-* ``shapes``: sizes and load of the demo fleet and the reference deployments.
+* ``deployments``: size and load of the demo and the reference deployments.
 * ``embedded``: a whole fleet in one process; ``folder`` manages its folder.
 * ``load``: generates calls of organisations over real sockets; ``callers``
   makes and checks one call, ``tally`` collects the measurements.
--- a/packages/daisypick_lab/src/daisypick_lab/commands.py
+++ b/packages/daisypick_lab/src/daisypick_lab/commands.py
@@ -10,11 +10,11 @@
 import msgspec
 
 from daisypick_lab import comparison
+from daisypick_lab import deployments
 from daisypick_lab import embedded
 from daisypick_lab import report
 from daisypick_lab import results
 from daisypick_lab import run
-from daisypick_lab import shapes
 
 EXIT_SUCCESS = 0
 EXIT_FAILURE = 1
@@ -65,7 +65,7 @@
         if self.option("serve"):
             return self._serve(seed)
         result = run.Run(
-            shape=shapes.DEMO,
+            deployment=deployments.DEMO,
             plan=run.QUICK if self.option("quick") else run.Plan(),
             seed=seed,
             report_progress=self.line_error,
@@ -77,7 +77,7 @@
         return EXIT_SUCCESS if result.verdict.is_clean else EXIT_FAILURE
 
     def _serve(self, seed: int) -> int:
-        fleet = embedded.EmbeddedFleet(shape=shapes.DEMO, seed=seed)
+        fleet = embedded.EmbeddedFleet(deployment=deployments.DEMO, seed=seed)
         fleet.start()
         for line in _describe(fleet):
             self.line(line)
@@ -142,7 +142,7 @@
         plan = run.QUICK if self.option("quick") else run.Plan()
         run_results = [
             run.Run(
-                shape=shapes.by_name[name],
+                deployment=deployments.by_name[name],
                 plan=plan,
                 seed=seed,
                 report_progress=self.line_error,
@@ -187,9 +187,9 @@
 def _describe(fleet: embedded.EmbeddedFleet) -> list[str]:
     """Return the addresses of a fleet and a sample request."""
     router = fleet.router_addresses[0]
-    profile = fleet.shape.profiles[0]
+    profile = fleet.deployment.profiles[0]
     body = (
-        f'{{"model": "{fleet.shape.model_service}", "stream": true, '
+        f'{{"model": "{fleet.deployment.model_service}", "stream": true, '
         '"messages": [{"role": "user", "content": "When are you open?"}]}'
     )
     return [
--- a/packages/daisypick_lab/src/daisypick_lab/shapes.py
+++ b/packages/daisypick_lab/src/daisypick_lab/deployments.py
@@ -16,7 +16,7 @@
 _OVERLOAD_WORKERS = 40
 
 
-class Shape(typing.NamedTuple):
+class Deployment(typing.NamedTuple):
     """Description of a fleet and its load.
 
     Attributes:
@@ -100,7 +100,7 @@
 
 
 _DEMO_SERVICES = ("assistant", "desk")
-DEMO = Shape(
+DEMO = Deployment(
     name="demo",
     data_centres=("sofia", "plovdiv"),
     routers=2,
@@ -141,7 +141,7 @@
 )
 
 _UNION_SERVICES = ("assistant", "desk")
-UNION = Shape(
+UNION = Deployment(
     name="union",
     data_centres=("sofia", "plovdiv", "varna", "burgas"),
     routers=4,
@@ -158,7 +158,7 @@
 )
 
 _KOPACKA_SERVICES = ("assistant", "ordering")
-KOPACKA = Shape(
+KOPACKA = Deployment(
     name="kopacka",
     data_centres=("praha", "brno", "plzen"),
     routers=3,
@@ -174,4 +174,4 @@
     leaving="brno",
 )
 
-by_name = {shape.name: shape for shape in (DEMO, UNION, KOPACKA)}
+by_name = {deployment.name: deployment for deployment in (DEMO, UNION, KOPACKA)}
--- a/packages/daisypick_lab/src/daisypick_lab/embedded.py
+++ b/packages/daisypick_lab/src/daisypick_lab/embedded.py
@@ -16,8 +16,8 @@
 from daisypick_core.configuration import check
 from daisypick_core.configuration import merge
 from daisypick_core.results import failure as failure_value
+from daisypick_lab import deployments
 from daisypick_lab import folder as folder_files
-from daisypick_lab import shapes
 from daisypick_node import process as process_module
 from daisypick_node import settings as settings_module
 from daisypick_node.agent import process as agent_process
@@ -45,7 +45,7 @@
     """A whole fleet in this process.
 
     Attributes:
-        shape: Sizes and load of the fleet.
+        deployment: Sizes and load of the fleet.
         engines: Engines by name of their backend server.
         plain_services: Plain services by name of their backend server.
         agents: Agents by name of their backend server.
@@ -54,8 +54,10 @@
         out: Data centres that are out of service.
     """
 
-    def __init__(self, *, shape: shapes.Shape, seed: int) -> None:
-        self.shape = shape
+    def __init__(
+        self, *, deployment: deployments.Deployment, seed: int
+    ) -> None:
+        self.deployment = deployment
         self.platform = platform_server.Platform()
         self.engines: dict[str, engine_server.Engine] = {}
         self.plain_services: dict[str, plain_server.PlainService] = {}
@@ -65,7 +67,7 @@
         self.out: set[str] = set()
         self._server_by_name: dict[str, folder_files.BackendServer] = {}
         self._seed = seed
-        self._files = folder_files.organisation_files(shape)
+        self._files = folder_files.organisation_files(deployment)
         self._changes = 0
         self._clients: list[http_platform.HttpPlatformClient] = []
         self._publisher: publication.Publisher | None = None
@@ -88,7 +90,7 @@
                 )
             )
             self._server_by_name[name] = server._replace(agent=address)
-        for number in range(self.shape.routers):
+        for number in range(self.deployment.routers):
             listen_on_free_address(
                 lambda address, number=number: self._start_router(
                     number, address
@@ -215,9 +217,9 @@
 
     def _start_engines(self) -> list[folder_files.BackendServer]:
         servers = []
-        for number in range(self.shape.replicas):
-            name = f"{self.shape.model_service}-{number + 1}"
-            settings = self.shape.engine._replace(seed=self._seed + number)
+        for number in range(self.deployment.replicas):
+            name = f"{self.deployment.model_service}-{number + 1}"
+            settings = self.deployment.engine._replace(seed=self._seed + number)
             engine = engine_server.Engine(settings=settings)
             engine.start()
             self.engines[name] = engine
@@ -225,7 +227,7 @@
                 self._server(
                     name,
                     number,
-                    self.shape.model_service,
+                    self.deployment.model_service,
                     engine.address,
                     (settings.slots, settings.cold_slots),
                 )
@@ -234,8 +236,8 @@
 
     def _start_plain_services(self) -> list[folder_files.BackendServer]:
         servers = []
-        for number in range(self.shape.plain_replicas):
-            name = f"{self.shape.plain_service}-{number + 1}"
+        for number in range(self.deployment.plain_replicas):
+            name = f"{self.deployment.plain_service}-{number + 1}"
             service = plain_server.PlainService(delay=0.01)
             service.start()
             self.plain_services[name] = service
@@ -243,7 +245,7 @@
                 self._server(
                     name,
                     number,
-                    self.shape.plain_service,
+                    self.deployment.plain_service,
                     service.address,
                     (PLAIN_SLOTS, PLAIN_SLOTS),
                 )
@@ -258,7 +260,7 @@
         address: str,
         slots: tuple[int, int],
     ) -> folder_files.BackendServer:
-        data_centres = self.shape.data_centres
+        data_centres = self.deployment.data_centres
         data_centre = data_centres[number % len(data_centres)]
         self.data_centre_by_server[name] = data_centre
         return folder_files.BackendServer(
@@ -287,7 +289,7 @@
         self.agents[server.name] = agent
 
     def _start_router(self, number: int, address: str) -> None:
-        data_centres = self.shape.data_centres
+        data_centres = self.deployment.data_centres
         router = router_process.RouterProcess(
             settings=settings_module.RouterSettings(
                 listen=address,
--- a/packages/daisypick_lab/src/daisypick_lab/folder.py
+++ b/packages/daisypick_lab/src/daisypick_lab/folder.py
@@ -3,8 +3,8 @@
 The files have the same text as on disk. A change is appended as a new file.
 
 Examples:
-    >>> from daisypick_lab import shapes
-    >>> files = organisation_files(shapes.DEMO)
+    >>> from daisypick_lab import deployments
+    >>> files = organisation_files(deployments.DEMO)
     >>> print(files[0].text.splitlines()[0])
     [organisations.rila-farm]
 """
@@ -14,8 +14,8 @@
 import typing
 
 from daisypick_core.configuration import merge
+from daisypick_lab import deployments
 from daisypick_lab import load
-from daisypick_lab import shapes
 
 
 class BackendServer(typing.NamedTuple):
@@ -30,19 +30,21 @@
     cold_slots: int
 
 
-def organisation_files(shape: shapes.Shape) -> list[merge.SourceFile]:
+def organisation_files(
+    deployment: deployments.Deployment,
+) -> list[merge.SourceFile]:
     """Return the files that don't depend on addresses."""
-    organisations = "\n".join(_organisation(p) for p in shape.profiles)
+    organisations = "\n".join(_organisation(p) for p in deployment.profiles)
     services = (
-        f"[services.{shape.model_service}]\n"
+        f"[services.{deployment.model_service}]\n"
         'kind = "model"\nmodel = "pine-7b"\n\n'
-        f"[services.{shape.plain_service}]\n"
+        f"[services.{deployment.plain_service}]\n"
         'kind = "plain"\n'
         'not_repeatable = [{ method = "POST", path = "/bookings" }]\n'
     )
     data_centres = "\n".join(
         f'[data_centres.{name}]\nregion = "home"\n'
-        for name in shape.data_centres
+        for name in deployment.data_centres
     )
     return [
         merge.SourceFile("10-organisations.toml", organisations),
--- a/packages/daisypick_lab/src/daisypick_lab/results.py
+++ b/packages/daisypick_lab/src/daisypick_lab/results.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from daisypick_lab import callers
+from daisypick_lab import deployments
 from daisypick_lab import sampler
-from daisypick_lab import shapes
 from daisypick_lab import tally as tally_module
 
 STEADY = "steady"
@@ -148,37 +148,37 @@
 
 
 def fairness(
-    shape: shapes.Shape, samples: Sequence[sampler.Sample]
+    deployment: deployments.Deployment, samples: Sequence[sampler.Sample]
 ) -> FairnessResult:
     """Return the fairness gap over samples."""
     names = sampler.backlogged(samples)
-    shares = {p.name: p.share for p in shape.profiles if p.name in names}
+    shares = {p.name: p.share for p in deployment.profiles if p.name in names}
     services = [sample.tokens_by_organisation for sample in samples]
     return FairnessResult(
         gap=tally_module.largest_gap(services, shares),
-        largest_request=max(map(_largest_request, shape.profiles)),
+        largest_request=max(map(_largest_request, deployment.profiles)),
         backlogged=sorted(names),
     )
 
 
 def organisations(
-    shape: shapes.Shape,
+    deployment: deployments.Deployment,
     tally: tally_module.Tally,
     samples: Sequence[sampler.Sample],
 ) -> list[OrganisationResult]:
     """Return the result of each organisation.
 
     Args:
-        shape: The deployment.
+        deployment: The deployment.
         tally: Measurements of the whole run.
         samples: Samples of the steady phase, for ``due`` and ``received``.
     """
     names = set(sampler.backlogged(samples))
-    shares = {p.name: p.share for p in shape.profiles if p.name in names}
+    shares = {p.name: p.share for p in deployment.profiles if p.name in names}
     served = {name: _served(samples, name) for name in names}
     all_served = sum(served.values()) or 1.0
     found = []
-    for profile in shape.profiles:
+    for profile in deployment.profiles:
         own = tally.of(profile.name)
         is_backlogged = profile.name in names
         due = profile.share / sum(shares.values()) if is_backlogged else None
--- a/packages/daisypick_lab/src/daisypick_lab/run.py
+++ b/packages/daisypick_lab/src/daisypick_lab/run.py
@@ -7,11 +7,11 @@
 
 import gevent
 
+from daisypick_lab import deployments
 from daisypick_lab import embedded
 from daisypick_lab import load
 from daisypick_lab import results
 from daisypick_lab import sampler as sampler_module
-from daisypick_lab import shapes
 
 _FINISH_SECONDS = 45.0
 _RAMP = "ramp"
@@ -50,16 +50,16 @@
     def __init__(
         self,
         *,
-        shape: shapes.Shape,
+        deployment: deployments.Deployment,
         plan: Plan,
         seed: int,
         report_progress: ReportProgress,
     ) -> None:
-        self._shape = shape
+        self._deployment = deployment
         self._plan = plan
         self._seed = seed
         self._report_progress = report_progress
-        self._fleet = embedded.EmbeddedFleet(shape=shape, seed=seed)
+        self._fleet = embedded.EmbeddedFleet(deployment=deployment, seed=seed)
         self._times_by_phase: dict[str, _PhaseTimes] = {}
 
     def run(self) -> results.Result:
@@ -73,7 +73,7 @@
 
     def _run_phases(self, started_at: float) -> results.Result:
         generator = load.LoadGenerator(
-            profiles=self._shape.profiles,
+            profiles=self._deployment.profiles,
             routers=self._fleet.router_addresses,
             seed=self._seed,
         )
@@ -106,7 +106,7 @@
         generator: load.LoadGenerator,
         sampler: sampler_module.Sampler,
     ) -> results.LeavingResult:
-        name = self._shape.leaving
+        name = self._deployment.leaving
         self._report_progress(f"Taking data centre {name} out of service.")
         seconds_out = self._fleet.set_data_centre(name, is_in=False)
         accepted_at = time.monotonic() - seconds_out
@@ -147,13 +147,15 @@
                 refusals[str(code)] += count
         verdict = tally.verdict(self._fleet.runs_by_marker())
         return results.Result(
-            deployment=self._shape.name,
+            deployment=self._deployment.name,
             seed=self._seed,
             version=results.version(),
             seconds=time.monotonic() - started_at,
             falls=self._fleet.falls(),
-            organisations=results.organisations(self._shape, tally, steady),
-            fairness=results.fairness(self._shape, steady),
+            organisations=results.organisations(
+                self._deployment, tally, steady
+            ),
+            fairness=results.fairness(self._deployment, steady),
             phases=phases,
             leaving=leaving,
             control=self._control(steady),
--- a/packages/daisypick_lab/src/daisypick_lab/sampler.py
+++ b/packages/daisypick_lab/src/daisypick_lab/sampler.py
@@ -83,7 +83,7 @@
             },
             busy=sum(min(load.slots, load.open) for load in loads),
             slots=sum(load.slots for load in loads),
-            runs_in_leaving=fleet.runs_in(fleet.shape.leaving),
+            runs_in_leaving=fleet.runs_in(fleet.deployment.leaving),
             control_bytes=fleet.control_bytes(),
         )
 
--- a/packages/daisypick_lab/src/daisypick_lab/trouble.py
+++ b/packages/daisypick_lab/src/daisypick_lab/trouble.py
@@ -14,9 +14,9 @@
 
 import gevent
 
+from daisypick_lab import deployments
 from daisypick_lab import embedded
 from daisypick_lab import load
-from daisypick_lab import shapes
 from daisypick_lab import tally as tally_module
 from daisypick_standins.engine import faults as engine_faults
 from daisypick_standins.plain import faults as plain_faults
@@ -56,20 +56,20 @@
 
 
 def run_scenario(
-    name: str, *, shape: shapes.Shape, seed: int
+    name: str, *, deployment: deployments.Deployment, seed: int
 ) -> ScenarioResult:
     """Run a fault scenario under load.
 
     Args:
         name: Name of a registered scenario.
-        shape: The fleet and its load.
+        deployment: The fleet and its load.
         seed: Seed of both.
     """
-    fleet = embedded.EmbeddedFleet(shape=shape, seed=seed)
+    fleet = embedded.EmbeddedFleet(deployment=deployment, seed=seed)
     try:
         fleet.start()
         generator = load.LoadGenerator(
-            profiles=shape.profiles,
+            profiles=deployment.profiles,
             routers=fleet.router_addresses,
             seed=seed,
         )
@@ -140,7 +140,7 @@
 @register("data_centres_out_and_in")
 def _data_centres_out_and_in(fleet: embedded.EmbeddedFleet) -> None:
     """Take the data centres out of service and in again, one by one."""
-    for name in fleet.shape.data_centres:
+    for name in fleet.deployment.data_centres:
         fleet.set_data_centre(name, is_in=False)
         gevent.sleep(_PAUSE_SECONDS)
         fleet.set_data_centre(name, is_in=True)
--- a/packages/daisypick_lab/tests/test_run.py
+++ b/packages/daisypick_lab/tests/test_run.py
@@ -1,10 +1,10 @@
 import msgspec
 
 from daisypick_lab import comparison
+from daisypick_lab import deployments
 from daisypick_lab import report
 from daisypick_lab import results
 from daisypick_lab import run
-from daisypick_lab import shapes
 
 
 def test_run_without_violations_and_its_report(tmp_path):
@@ -12,17 +12,20 @@
     # service under load and restored: each response must be complete and
     # belong to its request, nothing may run twice, and a request refused as
     # "not run" must not have run.
-    shape = shapes.DEMO._replace(
-        engine=shapes.DEMO.engine._replace(token_interval=0.002),
+    deployment = deployments.DEMO._replace(
+        engine=deployments.DEMO.engine._replace(token_interval=0.002),
         profiles=tuple(
             profile._replace(workers=min(2, profile.workers))
-            for profile in shapes.DEMO.profiles
+            for profile in deployments.DEMO.profiles
         ),
     )
     plan = run.Plan(ramp=0.2, steady=0.3, out=0.3, back=0.3)
     messages = []
     subject = run.Run(
-        shape=shape, plan=plan, seed=1, report_progress=messages.append
+        deployment=deployment,
+        plan=plan,
+        seed=1,
+        report_progress=messages.append,
     )
     result = subject.run()
     assert result.verdict == results.VerdictResult(
--- a/packages/daisypick_lab/tests/test_trouble.py
+++ b/packages/daisypick_lab/tests/test_trouble.py
@@ -6,7 +6,7 @@
 import pytest
 
 from daisypick_core.results import codes
-from daisypick_lab import shapes
+from daisypick_lab import deployments
 from daisypick_lab import trouble
 
 UNKNOWN_OUTCOMES = {codes.OUTCOME_UNKNOWN.number, codes.KEY_IN_PROGRESS.number}
@@ -16,14 +16,14 @@
     codes.ENGINE_FAILED.number,
     0,  # The response of the service itself, forwarded.
 }
-SHAPE = shapes.DEMO._replace(
-    engine=shapes.DEMO.engine._replace(token_interval=0.004),
+DEPLOYMENT = deployments.DEMO._replace(
+    engine=deployments.DEMO.engine._replace(token_interval=0.004),
     profiles=tuple(
         profile._replace(
             workers=min(2, profile.workers),
             plain_share=max(0.25, profile.plain_share),
         )
-        for profile in shapes.DEMO.profiles
+        for profile in deployments.DEMO.profiles
     ),
 )
 
@@ -40,7 +40,7 @@
     ],
 )
 def test_invariants_hold_under_faults(name, allowed):
-    result = trouble.run_scenario(name, shape=SHAPE, seed=1)
+    result = trouble.run_scenario(name, deployment=DEPLOYMENT, seed=1)
     assert result.verdict.is_clean, result.verdict
     assert result.is_done
     refused = {
