--- a/packages/daisypick_lab/src/daisypick_lab/bench/work.py
+++ b/packages/daisypick_lab/src/daisypick_lab/bench/work.py
@@ -26,7 +26,7 @@
         self._pool = client.ClientPool(timeout=_TIMEOUT)
         self._caller = callers.Caller(key=processes.CALLER_KEY, pool=self._pool)
 
-    def call(self, *, tokens: int, is_stream: bool) -> callers.Answered:
+    def call(self, *, tokens: int, is_stream: bool) -> callers.CallResult:
         """Make one call and check its response.
 
         Raises:
--- a/packages/daisypick_lab/src/daisypick_lab/callers.py
+++ b/packages/daisypick_lab/src/daisypick_lab/callers.py
@@ -68,7 +68,7 @@
     idempotency_key: str
 
 
-class Answered(typing.NamedTuple):
+class CallResult(typing.NamedTuple):
     """The result of a call.
 
     Attributes:
@@ -147,7 +147,7 @@
 
     def chat(
         self, router: str, call: ChatCall, note_tokens: NoteTokens
-    ) -> Answered:
+    ) -> CallResult:
         """Call a model service; report the tokens as they arrive."""
         started_at = self._clock()
         try:
@@ -168,7 +168,7 @@
         except client.CALL_ERRORS as error:
             return _failed_result(error)
 
-    def plain(self, router: str, call: PlainCall) -> Answered:
+    def plain(self, router: str, call: PlainCall) -> CallResult:
         """Call a plain service once."""
         headers = {
             **self._headers,
@@ -229,12 +229,12 @@
                 count += 1
         return count
 
-    def finish(self) -> Answered:
+    def finish(self) -> CallResult:
         """Return the result of the whole stream."""
         if self._error or not self._is_done:
-            return Answered(BROKEN, self._error or "no end mark")
+            return CallResult(BROKEN, self._error or "no end mark")
         mismatch = text.check("".join(self._parts), self._call.marker)
-        return Answered(
+        return CallResult(
             WRONG if mismatch else WHOLE,
             mismatch,
             first_token_seconds=self._first_token_seconds,
@@ -243,13 +243,13 @@
         )
 
 
-def _check_chat(call: ChatCall, data: bytes) -> Answered:
+def _check_chat(call: ChatCall, data: bytes) -> CallResult:
     body = _body_decoder.decode(data)
     message = body.choices[0].message if body.choices else None
     content = message.content if message else ""
     usage = body.usage or _Usage()
     mismatch = text.check(content, call.marker)
-    return Answered(
+    return CallResult(
         WRONG if mismatch else WHOLE,
         mismatch,
         prompt_tokens=usage.prompt_tokens,
@@ -257,22 +257,22 @@
     )
 
 
-def _check_plain(call: PlainCall, data: bytes) -> Answered:
+def _check_plain(call: PlainCall, data: bytes) -> CallResult:
     body = msgspec.json.decode(data, type=_PlainBody)
     if body.marker != call.marker:
-        return Answered(WRONG, f"answer to {body.marker}, not {call.marker}")
+        return CallResult(WRONG, f"answer to {body.marker}, not {call.marker}")
     if body.run != 1:
-        return Answered(WRONG, f"{call.marker} ran {body.run} times")
-    return Answered(WHOLE)
+        return CallResult(WRONG, f"{call.marker} ran {body.run} times")
+    return CallResult(WHOLE)
 
 
-def _refused_result(response: client.Response) -> Answered:
+def _refused_result(response: client.Response) -> CallResult:
     data = bytes(response.read())
     try:
         problem = msgspec.json.decode(data, type=_Problem)
     except msgspec.MsgspecError:
         problem = _Problem(title=f"status {response.status_code}")
-    return Answered(
+    return CallResult(
         REFUSED,
         f"{problem.title}: {problem.detail}",
         code=problem.code,
@@ -281,11 +281,11 @@
     )
 
 
-def _failed_result(error: Exception) -> Answered:
+def _failed_result(error: Exception) -> CallResult:
     reason = f"{type(error).__name__}: {error}"
     if isinstance(error, client.NotConnectedError):
-        return Answered(REFUSED, reason, ran=RAN_NO)
-    return Answered(BROKEN, reason, ran=RAN_UNKNOWN)
+        return CallResult(REFUSED, reason, ran=RAN_NO)
+    return CallResult(BROKEN, reason, ran=RAN_UNKNOWN)
 
 
 def _parse_seconds(value: typing.Any) -> float:
--- a/packages/daisypick_lab/src/daisypick_lab/load.py
+++ b/packages/daisypick_lab/src/daisypick_lab/load.py
@@ -198,7 +198,7 @@
         )
         self._organisation_tally.sent += 1
         self._organisation_tally.open_count += 1
-        results: list[callers.Answered] = []
+        results: list[callers.CallResult] = []
         for attempt in range(_PLAIN_ATTEMPTS):
             router = self._routers[attempt % len(self._routers)]
             results += self._send_plain(router, call, attempt)
@@ -210,7 +210,7 @@
 
     def _send_plain(
         self, router: str, call: callers.PlainCall, attempt: int
-    ) -> list[callers.Answered]:
+    ) -> list[callers.CallResult]:
         if attempt or self._rng.random() >= self._profile.duplicate_share:
             return [self._caller.plain(router, call)]
         greenlets = [
@@ -220,7 +220,7 @@
         return [greenlet.get() for greenlet in greenlets]
 
     def _count_call(
-        self, marker: str, answered: list[callers.Answered]
+        self, marker: str, answered: list[callers.CallResult]
     ) -> None:
         """Count a call by its decisive result; record a reported "not run".
 
@@ -234,7 +234,7 @@
         if all(a.ran == callers.RAN_NO for a in answered):
             self._load.tally.not_run_markers.add(marker)
 
-    def _back_off(self, answered: callers.Answered, attempt: int) -> None:
+    def _back_off(self, answered: callers.CallResult, attempt: int) -> None:
         if answered.outcome == callers.WHOLE:
             return
         seconds = answered.retry_after or _BACKOFF_SECONDS * 2**attempt
@@ -285,7 +285,7 @@
         self._counted_tokens += count
         self._organisation_tally.tokens += count
 
-    def finish(self, answered: callers.Answered) -> None:
+    def finish(self, answered: callers.CallResult) -> None:
         """Count the tokens in ``usage`` that the stream did not show."""
         self._end_wait()
         total = answered.prompt_tokens + answered.completion_tokens
--- a/packages/daisypick_lab/src/daisypick_lab/tally.py
+++ b/packages/daisypick_lab/src/daisypick_lab/tally.py
@@ -130,7 +130,7 @@
         )
 
     def count(
-        self, organisation: str, marker: str, answered: callers.Answered
+        self, organisation: str, marker: str, answered: callers.CallResult
     ) -> None:
         """Record the outcome of a finished call."""
         own = self.of(organisation)
--- a/packages/daisypick_lab/tests/test_tally.py
+++ b/packages/daisypick_lab/tests/test_tally.py
@@ -4,9 +4,9 @@
 
 def test_verdict_compares_outcomes_with_reported_runs():
     subject = tally.Tally()
-    subject.count("union", "a", callers.Answered(callers.WRONG, "other"))
-    subject.count("union", "b", callers.Answered(callers.BROKEN, "cut"))
-    refused = callers.Answered(callers.REFUSED, "full", code=2001, ran="no")
+    subject.count("union", "a", callers.CallResult(callers.WRONG, "other"))
+    subject.count("union", "b", callers.CallResult(callers.BROKEN, "cut"))
+    refused = callers.CallResult(callers.REFUSED, "full", code=2001, ran="no")
     subject.count("union", "c", refused)
     subject.not_run_markers = {"c", "d"}
     verdict = subject.verdict({"c": 1, "plain-e": 2, "f": 2})
