--- a/packages/daisypick_lab/src/daisypick_lab/embedded.py
+++ b/packages/daisypick_lab/src/daisypick_lab/embedded.py
@@ -198,7 +198,7 @@
                 total += self.plain_services[name].runs_by_marker.total()
         return total
 
-    def falls(self) -> int:
+    def overload_count(self) -> int:
         """Return how often a cold engine was overloaded."""
         return sum(
             engine.batch.overload_count for engine in self.engines.values()
--- a/packages/daisypick_lab/src/daisypick_lab/run.py
+++ b/packages/daisypick_lab/src/daisypick_lab/run.py
@@ -151,7 +151,7 @@
             seed=self._seed,
             version=results.version(),
             seconds=time.monotonic() - started_at,
-            falls=self._fleet.falls(),
+            falls=self._fleet.overload_count(),
             organisations=results.organisations(
                 self._deployment, tally, steady
             ),
