--- a/packages/daisypick_lab/src/daisypick_lab/__init__.py
+++ b/packages/daisypick_lab/src/daisypick_lab/__init__.py
@@ -8,7 +8,7 @@
 * ``run``: runs a fleet under load while a data centre is taken out of service
   and restored; ``results`` holds the result, ``report`` renders it and
   ``comparison`` compares it with earlier results.
-* ``trouble``: fault injection while the fleet serves.
+* ``fault_scenarios``: fault injection while the fleet serves.
 * ``fit``: linear regression over measured points, used by ``bench``.
 * ``commands``: ``daisypick demo`` and ``daisypick measure``.
 
--- a/packages/daisypick_lab/tests/test_trouble.py
+++ b/packages/daisypick_lab/tests/test_fault_scenarios.py
@@ -7,7 +7,7 @@
 
 from daisypick_core.results import codes
 from daisypick_lab import deployments
-from daisypick_lab import trouble
+from daisypick_lab import fault_scenarios
 
 UNKNOWN_OUTCOMES = {codes.OUTCOME_UNKNOWN.number, codes.KEY_IN_PROGRESS.number}
 SERVICE_FAILURES = {
@@ -40,7 +40,7 @@
     ],
 )
 def test_invariants_hold_under_faults(name, allowed):
-    result = trouble.run_scenario(name, deployment=DEPLOYMENT, seed=1)
+    result = fault_scenarios.run_scenario(name, deployment=DEPLOYMENT, seed=1)
     assert result.verdict.is_clean, result.verdict
     assert result.is_done
     refused = {
