--- a/packages/daisypick_core/src/daisypick_core/scheduling/job.py
+++ b/packages/daisypick_core/src/daisypick_core/scheduling/job.py
@@ -22,7 +22,8 @@
         output_tokens: Expected number of generated tokens.
         arrived_at: When the caller's request was read.
         objective_at: When its first event should be sent at the latest.
-        deadline_at: When its caller gives up, whatever was received.
+        deadline_at: Deadline of the caller, whether or not events were
+            received.
         avoid: Backend servers that it must not go to.
         data_centre: Data centre of its router.
     """
--- a/packages/daisypick_http/src/daisypick_http/server.py
+++ b/packages/daisypick_http/src/daisypick_http/server.py
@@ -19,7 +19,7 @@
 from daisypick_http import messages
 from daisypick_http import request_reader
 
-# Maximum wait for the caller to close a connection after our side was closed.
+# Maximum wait for the caller to close a connection after this side was closed.
 _LINGER_SECONDS = 1.0
 
 
@@ -63,7 +63,7 @@
 
     Attributes:
         idle_since: Monotonic time at which the connection last became idle.
-        closing: Whether our side is closed.
+        closing: Whether this side is closed.
         exchanges: Number of requests started on the connection.
         response_started: Whether the head of the current response was sent.
         response_completed: Whether the current response was sent completely.
@@ -251,7 +251,7 @@
             self._socket.shutdown(plain_socket.SHUT_RDWR)
 
     def close_idle(self) -> None:
-        """Close our side unless a request was received but not read yet.
+        """Close this side unless a request was received but not read yet.
 
         A busy process reads with a delay. Closing a connection that holds an
         unread request would leave its caller without a response.
@@ -290,7 +290,7 @@
             self._socket.settimeout(timeout)
 
     def close_gracefully(self) -> None:
-        """Close our side and wait a moment for the caller to close."""
+        """Close this side and wait a moment for the caller to close."""
         if self.closing:
             return
         self.closing = True
--- a/packages/daisypick_lab/src/daisypick_lab/tally.py
+++ b/packages/daisypick_lab/src/daisypick_lab/tally.py
@@ -82,8 +82,8 @@
         wrong: Reasons for responses that belong to another request.
         broken: Reasons for incomplete responses.
         ran_twice: Markers of non-repeatable calls that ran more than once.
-        untrue_refusals: Markers of calls that ran although their callers
-            were told "not run".
+        untrue_refusals: Markers of calls that ran but, to their callers,
+            were reported as not run.
     """
 
     wrong: tuple[str, ...]
--- a/packages/daisypick_node/src/daisypick_node/records.py
+++ b/packages/daisypick_node/src/daisypick_node/records.py
@@ -1,7 +1,7 @@
 """Records events of recent requests, within a memory limit.
 
 ``daisypick explain REQUEST_ID`` reads them. An event has ids, codes and times,
-but never the content of a request.
+but never text sent by a caller.
 """
 
 import collections
--- a/packages/daisypick_router/src/daisypick_router/peer_link.py
+++ b/packages/daisypick_router/src/daisypick_router/peer_link.py
@@ -72,7 +72,7 @@
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Close the connection for good and fail the waiting requests."""
+        """Close the connection permanently and fail the waiting requests."""
         if self._greenlet is not None:
             self._greenlet.kill(block=False)
         if self._channel is not None:
--- a/packages/daisypick_router/src/daisypick_router/placing.py
+++ b/packages/daisypick_router/src/daisypick_router/placing.py
@@ -1,11 +1,11 @@
 """Requests placements of model requests from the service's scheduler host.
 
 Every model service has one scheduler, hosted by one of the routers. It sees
-all requests of the service, so it can share capacity fairly between tenants,
-place requests by the KV cache of each engine and limit the load of each
-engine. If the host does not answer for a quarter of a second, or there is no
-connection to it, a router falls back to a local scheduler with its own small
-share of every engine's capacity.
+all requests of the service, so it can share capacity fairly between
+organisations, place requests by the KV cache of each engine and limit the load
+of each engine. If the host does not answer for a quarter of a second, or there
+is no connection to it, a router falls back to a local scheduler with its own
+small share of every engine's capacity.
 """
 
 import collections
--- a/packages/daisypick_standins/src/daisypick_standins/engine/faults.py
+++ b/packages/daisypick_standins/src/daisypick_standins/engine/faults.py
@@ -10,7 +10,8 @@
         fail: Number of requests that return 500 without having run.
         break_off: Number of responses that break off after half their
             tokens.
-        stall: Number of streams that stall for good after half their tokens.
+        stall: Number of streams that stall permanently after half their
+            tokens.
         cross: Number of requests that get the answer to another request.
         slow: Factor on the length of each step.
         crash: Fail all running and waiting requests and restart, now.
